--- a/crates/yarrowspoke-front/benches/rules.rs
+++ b/crates/yarrowspoke-front/benches/rules.rs
@@ -6,7 +6,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{connect, World};
+use common::{connect, TestEnvironment};
 use yarrowspoke_toy::Behaviour;
 
 const CLIENTS: usize = 4;
@@ -16,7 +16,7 @@
 const TICKS: f64 = 100.0;
 
 /// CPU seconds that the front has taken.
-fn cpu(world: &World) -> f64 {
+fn cpu(world: &TestEnvironment) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", world.front.id())).unwrap_or_default();
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
     let ticks = |n: usize| fields.get(n).and_then(|t| t.parse::<f64>().ok()).unwrap_or(0.0);
@@ -24,7 +24,7 @@
 }
 
 fn round(operator: &str, round: usize) -> f64 {
-    let world = World::with_rules(&[Behaviour::Serve, Behaviour::Serve], operator);
+    let world = TestEnvironment::with_rules(&[Behaviour::Serve, Behaviour::Serve], operator);
     let listen = world.listen;
     let before = cpu(&world);
     let clients: Vec<_> = (0..CLIENTS)
@@ -33,7 +33,7 @@
                 let mut line = connect(listen).expect("the front listens");
                 for n in 0..EACH {
                     let answer =
-                        line.ask(&common::get(&format!("{round}-{c}-{n}"), "1.0")).expect("an answer");
+                        line.request(&common::get(&format!("{round}-{c}-{n}"), "1.0")).expect("an answer");
                     assert!(answer.start().contains(" 200 "), "{answer:?}");
                 }
             })
--- a/crates/yarrowspoke-front/src/agree.rs
+++ b/crates/yarrowspoke-front/src/agreed_log.rs
@@ -20,17 +20,17 @@
 
 /// An entry as the log holds it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Logged(pub Entry);
+pub struct LoggedEntry(pub Entry);
 
-impl omnipaxos::storage::Entry for Logged {
+impl omnipaxos::storage::Entry for LoggedEntry {
     type Snapshot = NoSnapshot;
 }
 
 /// What the journal holds: operations, those of one append all or none.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Op {
-    Append(Vec<Logged>),
-    OnPrefix(u64, Vec<Logged>),
+    Append(Vec<LoggedEntry>),
+    OnPrefix(u64, Vec<LoggedEntry>),
     Promise(Ballot),
     Accepted(Ballot),
     Decided(u64),
@@ -40,7 +40,7 @@
 /// The log on its journal.
 struct Log {
     journal: Option<Journal>,
-    entries: Vec<Logged>,
+    entries: Vec<LoggedEntry>,
     promise: Option<Ballot>,
     accepted: Option<Ballot>,
     decided: usize,
@@ -88,8 +88,8 @@
     }
 }
 
-impl Storage<Logged> for Log {
-    fn write_atomically(&mut self, ops: Vec<StorageOp<Logged>>) -> StorageResult<()> {
+impl Storage<LoggedEntry> for Log {
+    fn write_atomically(&mut self, ops: Vec<StorageOp<LoggedEntry>>) -> StorageResult<()> {
         let op = |op| match op {
             StorageOp::AppendEntry(e) => Some(Op::Append(vec![e])),
             StorageOp::AppendEntries(e) => Some(Op::Append(e)),
@@ -104,15 +104,15 @@
         self.keep(ops.into_iter().filter_map(op).collect())
     }
 
-    fn append_entry(&mut self, entry: Logged) -> StorageResult<()> {
+    fn append_entry(&mut self, entry: LoggedEntry) -> StorageResult<()> {
         self.keep(vec![Op::Append(vec![entry])])
     }
 
-    fn append_entries(&mut self, entries: Vec<Logged>) -> StorageResult<()> {
+    fn append_entries(&mut self, entries: Vec<LoggedEntry>) -> StorageResult<()> {
         self.keep(vec![Op::Append(entries)])
     }
 
-    fn append_on_prefix(&mut self, from_idx: usize, entries: Vec<Logged>) -> StorageResult<()> {
+    fn append_on_prefix(&mut self, from_idx: usize, entries: Vec<LoggedEntry>) -> StorageResult<()> {
         self.keep(vec![Op::OnPrefix(from_idx as u64, entries)])
     }
 
@@ -136,7 +136,7 @@
         Ok(self.accepted)
     }
 
-    fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<Logged>> {
+    fn get_entries(&self, from: usize, to: usize) -> StorageResult<Vec<LoggedEntry>> {
         Ok(self.entries.get(from..to).unwrap_or(&[]).to_vec())
     }
 
@@ -144,7 +144,7 @@
         Ok(self.entries.len())
     }
 
-    fn get_suffix(&self, from: usize) -> StorageResult<Vec<Logged>> {
+    fn get_suffix(&self, from: usize) -> StorageResult<Vec<LoggedEntry>> {
         Ok(self.entries.get(from..).unwrap_or(&[]).to_vec())
     }
 
@@ -183,26 +183,26 @@
 
 /// Messages from one planner to another, in order: a batch that comes late, behind a younger one, is dropped.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct Batch {
+pub struct MessageBatch {
     /// Who sends.
     pub from: String,
     /// Which incarnation of it.
     pub incarnation: u64,
     /// Number of the batch in that incarnation, to this planner.
     pub number: u64,
-    messages: Vec<Message<Logged>>,
+    messages: Vec<Message<LoggedEntry>>,
 }
 
 /// The agreement, as one planner takes part in it.
-pub struct Agree {
-    paxos: OmniPaxos<Logged, Log>,
+pub struct AgreedLog {
+    paxos: OmniPaxos<LoggedEntry, Log>,
     /// The state agreed on, as far as it is known here.
     pub state: Agreed,
     applied: usize,
     names: Vec<String>,
     name: String,
     incarnation: u64,
-    out: BTreeMap<String, Vec<Message<Logged>>>,
+    out: BTreeMap<String, Vec<Message<LoggedEntry>>>,
     sent: BTreeMap<String, u64>,
     came: BTreeMap<String, (u64, u64)>,
     /// Batches to these were lost: what came between has to be told anew.
@@ -210,15 +210,15 @@
 }
 
 /// Why a planner does not take part.
-pub enum Apart {
+pub enum JoinError {
     /// Its journal cannot be used.
     Io(io::Error),
     /// It remembers nothing, and was not said to be new. Danger: it may have promised something that it does not know any
     /// more, and a majority that counts on it would decide against what was decided.
-    Forgot,
+    LostState,
 }
 
-impl Agree {
+impl AgreedLog {
     /// Takes part under this name, by the journal in a directory; `found` says that it never took part before.
     pub fn open(
         names: Vec<String>,
@@ -226,11 +226,11 @@
         incarnation: u64,
         dir: Option<&Path>,
         found: bool,
-    ) -> Result<Self, Apart> {
+    ) -> Result<Self, JoinError> {
         let path = dir.map(|d| d.join("agreed"));
-        let (log, fresh) = Log::open(path.as_deref()).map_err(Apart::Io)?;
+        let (log, fresh) = Log::open(path.as_deref()).map_err(JoinError::Io)?;
         if fresh && !found {
-            return Err(Apart::Forgot);
+            return Err(JoinError::LostState);
         }
         let pid = |n: &String| names.iter().position(|m| m == n).map_or(0, |p| p as u64 + 1);
         let nodes = names.iter().map(pid).collect();
@@ -243,7 +243,7 @@
                 ..ServerConfig::default()
             },
         };
-        let paxos = config.build(log).map_err(|e| Apart::Io(io::Error::other(e.to_string())))?;
+        let paxos = config.build(log).map_err(|e| JoinError::Io(io::Error::other(e.to_string())))?;
         let empty = BTreeMap::new;
         let mut agree = Self {
             paxos,
@@ -290,7 +290,7 @@
             return;
         }
         for entry in self.paxos.read_decided_suffix(self.applied).unwrap_or_default() {
-            if let LogEntry::Decided(Logged(entry)) = entry {
+            if let LogEntry::Decided(LoggedEntry(entry)) = entry {
                 self.state.apply(&entry);
             }
         }
@@ -299,23 +299,28 @@
 
     /// Proposes an entry. It may be lost: whoever proposes looks whether it came about, and proposes again.
     pub fn propose(&mut self, entry: Entry) {
-        if self.paxos.append(Logged(entry)).is_err() {
+        if self.paxos.append(LoggedEntry(entry)).is_err() {
             log::warn!("fleet: an entry could not be proposed");
         }
         self.gather();
     }
 
     /// The next batch to a planner, if there is anything to say.
-    pub fn batch(&mut self, to: &str) -> Option<Batch> {
+    pub fn next_batch(&mut self, to: &str) -> Option<MessageBatch> {
         let waiting = self.out.get_mut(to).filter(|w| !w.is_empty())?;
         let messages: Vec<_> = waiting.drain(..waiting.len().min(BATCH)).collect();
         let number = self.sent.entry(to.to_owned()).or_default();
         *number += 1;
-        Some(Batch { from: self.name.clone(), incarnation: self.incarnation, number: *number, messages })
+        Some(MessageBatch {
+            from: self.name.clone(),
+            incarnation: self.incarnation,
+            number: *number,
+            messages,
+        })
     }
 
     /// How a batch went. After one that was lost, the next that arrives begins a session anew.
-    pub fn went(&mut self, to: &str, arrived: bool) {
+    pub fn batch_sent(&mut self, to: &str, arrived: bool) {
         let broken = self.broken.entry(to.to_owned()).or_default();
         if !arrived {
             *broken = true;
@@ -328,7 +333,7 @@
     }
 
     /// A batch has come.
-    pub fn incoming(&mut self, batch: Batch) {
+    pub fn receive(&mut self, batch: MessageBatch) {
         let Some(pid) = self.pid(&batch.from) else { return };
         let (incarnation, number) = self.came.get(&batch.from).copied().unwrap_or((0, 0));
         if batch.incarnation < incarnation || batch.incarnation == incarnation && batch.number <= number {
--- a/crates/yarrowspoke-front/src/classify.rs
+++ b/crates/yarrowspoke-front/src/classify.rs
@@ -16,7 +16,7 @@
 use yarrowspoke_settings::Settings;
 
 /// A compiled set in use.
-pub struct Loaded {
+pub struct LoadedRules {
     /// The set.
     pub set: Set,
     scratch: RefCell<Scratch>,
@@ -35,7 +35,7 @@
 
 /// Which rules are in force, and the buckets of their limits.
 pub struct Classifier {
-    loaded: RefCell<Option<Rc<Loaded>>>,
+    loaded: RefCell<Option<Rc<LoadedRules>>>,
     buckets: RefCell<Buckets>,
     most: Cell<usize>,
     seed: u64,
@@ -55,7 +55,7 @@
     }
 
     /// The set in force.
-    pub fn loaded(&self) -> Option<Rc<Loaded>> {
+    pub fn loaded(&self) -> Option<Rc<LoadedRules>> {
         self.loaded.borrow().clone()
     }
 
@@ -83,14 +83,14 @@
             log::warn!("rules: {line}:{column}: {text}");
         }
         let scratch = RefCell::new(Scratch::new(&rules.set, self.seed));
-        *self.loaded.borrow_mut() = Some(Rc::new(Loaded { set: rules.set, scratch }));
+        *self.loaded.borrow_mut() = Some(Rc::new(LoadedRules { set: rules.set, scratch }));
     }
 
     /// Takes into `call` what the rules say of it; else the status with which it is answered, as it is longer than the
     /// bounds on which the rules' prices rest.
-    pub fn rule(
+    pub fn apply_rules(
         &self,
-        loaded: &Loaded,
+        loaded: &LoadedRules,
         call: &mut Call,
         headers: &[Option<String>],
         names: &yarrowspoke_settings::Names,
@@ -124,7 +124,7 @@
         if let Some(tenant) = ruling.tenant {
             call.tenant = tenant;
         }
-        call.ruled = ruled;
+        call.policy = ruled;
         self.counts.set(counts);
         Ok(())
     }
@@ -157,14 +157,14 @@
         tenant: names.tenants.get(call.tenant as usize).map_or("", String::as_str),
         headers,
         budget: call.budget.min(i64::MAX as u64) as i64,
-        hint: call.hint.map(|h| h.min(i64::MAX as u64) as i64),
-        repeat: call.repeat,
+        hint: call.work_hint.map(|h| h.min(i64::MAX as u64) as i64),
+        repeat: call.is_retry,
         length: call.body.len() as i64,
     }
 }
 
 /// A deployment's names and bounds, as rules are bound to them.
-pub fn world(settings: &Settings) -> World<'_> {
+pub fn rule_context(settings: &Settings) -> World<'_> {
     let (names, module) = (&settings.names, &settings.module);
     World {
         class_names: &names.classes,
--- a/crates/yarrowspoke-front/src/cli.rs
+++ b/crates/yarrowspoke-front/src/cli.rs
@@ -43,7 +43,7 @@
         config: Option<PathBuf>,
         /// Warn where the stated rates can't be honoured in such a fleet
         #[command(flatten)]
-        fleet: Tier,
+        fleet: FleetSize,
     },
     /// Tell which faults can be found within a stage at the stated rates, and which can't
     Power {
@@ -51,7 +51,7 @@
         file: PathBuf,
         /// The fleet
         #[command(flatten)]
-        fleet: Tier,
+        fleet: FleetSize,
     },
     /// Run a planner: gathers what the fronts of a fleet report, grants leases, reconciles stragglers or quarantines them
     Planner {
@@ -132,10 +132,10 @@
     Audit {
         /// Where the record is
         #[command(flatten)]
-        from: RecordAt,
+        from: RecordSource,
         /// What of it
         #[command(flatten)]
-        asked: AskedOf,
+        asked: RecordFilter,
         /// Print one JSON object
         #[arg(long)]
         json: bool,
@@ -144,7 +144,7 @@
     Out {
         /// The planner that is told, and in whose name
         #[command(flatten)]
-        at: OrderAt,
+        at: OrderArgs,
         /// The front
         front: String,
         /// Why
@@ -155,7 +155,7 @@
     In {
         /// The planner that is told, and in whose name
         #[command(flatten)]
-        at: OrderAt,
+        at: OrderArgs,
         /// The front
         front: String,
     },
@@ -163,7 +163,7 @@
     Halt {
         /// The planner that is told, and in whose name
         #[command(flatten)]
-        at: OrderAt,
+        at: OrderArgs,
         /// Why
         #[arg(long)]
         why: String,
@@ -172,13 +172,13 @@
     Resume {
         /// The planner that is told, and in whose name
         #[command(flatten)]
-        at: OrderAt,
+        at: OrderArgs,
     },
     /// Take a permit from a front that will not come back
     Free {
         /// The planner that is told, and in whose name
         #[command(flatten)]
-        at: OrderAt,
+        at: OrderArgs,
         /// The front
         front: String,
         /// The permit's number, as `permits` tells it
@@ -203,7 +203,7 @@
 
 /// Who is given an order.
 #[derive(Clone, Debug, Args)]
-pub struct OrderAt {
+pub struct OrderArgs {
     /// A planner's address
     #[arg(long)]
     pub at: SocketAddr,
@@ -218,7 +218,7 @@
 /// Where a record is.
 #[derive(Clone, Debug, Args)]
 #[group(required = true, multiple = false)]
-pub struct RecordAt {
+pub struct RecordSource {
     /// A planner's address
     #[arg(long)]
     pub at: Option<SocketAddr>,
@@ -229,7 +229,7 @@
 
 /// What part of a record is asked for.
 #[derive(Clone, Debug, Args)]
-pub struct AskedOf {
+pub struct RecordFilter {
     /// Only this front
     #[arg(long)]
     pub front: Option<String>,
@@ -246,7 +246,7 @@
 
 /// A fleet, as far as it decides what can be found.
 #[derive(Clone, Copy, Debug, Args)]
-pub struct Tier {
+pub struct FleetSize {
     /// Fronts
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u32).range(1..=100_000))]
     pub fronts: u32,
@@ -265,16 +265,16 @@
 }
 
 /// What was asked for, as text, and whether it is well.
-pub struct Told {
+pub struct CommandOutput {
     /// What to print.
     pub text: String,
     /// The file is right.
-    pub right: bool,
+    pub success: bool,
 }
 
 /// Checks a file; what can't be honoured is a warning, no fault.
-pub fn check(file: &Path, config: Option<&Path>, fleet: &Tier) -> Told {
-    let wrong = |e: String| Told { text: format!("{e}\n"), right: false };
+pub fn check(file: &Path, config: Option<&Path>, fleet: &FleetSize) -> CommandOutput {
+    let wrong = |e: String| CommandOutput { text: format!("{e}\n"), success: false };
     let config = match config.map(config::load).transpose() {
         Ok(config) => config,
         Err(e) => return wrong(e.to_string()),
@@ -284,7 +284,7 @@
         Ok(mut operator) => {
             let path = file.display().to_string();
             if let (Some(rules), Some(config)) = (&mut operator.rules, &config) {
-                if let Err(faults) = rules.bind(&classify::world(&config.settings)) {
+                if let Err(faults) = rules.bind(&classify::rule_context(&config.settings)) {
                     return wrong(OperatorError::Faults { path, faults }.to_string());
                 }
             }
@@ -313,7 +313,7 @@
                     row.said()
                 );
             }
-            Told { text, right: true }
+            CommandOutput { text, success: true }
         }
     }
 }
@@ -339,9 +339,9 @@
 }
 
 /// Tells what can be found.
-pub fn power(file: &Path, fleet: &Tier) -> Told {
+pub fn power(file: &Path, fleet: &FleetSize) -> CommandOutput {
     let operator = match yarrowspoke_operator::load(file) {
-        Err(e) => return Told { text: format!("{e}\n"), right: false },
+        Err(e) => return CommandOutput { text: format!("{e}\n"), success: false },
         Ok(operator) => operator,
     };
     let v = operator.verdicts.unwrap_or(VERDICTS);
@@ -354,7 +354,7 @@
         let mark = if row.found_in_time() { "within a stage" } else { "not within a stage" };
         let _ = writeln!(text, "{:<44} {:<34} {mark}", row.fault, row.said());
     }
-    Told { text, right: true }
+    CommandOutput { text, success: true }
 }
 
 struct Row {
@@ -388,7 +388,7 @@
 /// Parts of the fleet that the stages give to a build, as examples of an early and a late one.
 const PARTS: [f64; 2] = [0.08, 0.6];
 
-fn rows(operator: &Operator, fleet: &Tier) -> Vec<Row> {
+fn rows(operator: &Operator, fleet: &FleetSize) -> Vec<Row> {
     let v: Verdicts = operator.verdicts.unwrap_or(VERDICTS);
     let settings = module_settings(v, fleet);
     let (design, alarms) = judging(&settings);
@@ -433,7 +433,7 @@
     out
 }
 
-fn module_settings(v: Verdicts, fleet: &Tier) -> Settings {
+fn module_settings(v: Verdicts, fleet: &FleetSize) -> Settings {
     let mut settings = yarrowspoke_settings::from_value(&serde_json::json!({}))
         .map(|s| s.module)
         .expect("settings of which nothing is said are readable");
--- a/crates/yarrowspoke-front/src/config.rs
+++ b/crates/yarrowspoke-front/src/config.rs
@@ -54,7 +54,7 @@
 
 impl Limits {
     /// Bytes that large bodies may hold together: an eighth of the memory.
-    pub fn bodies(&self) -> usize {
+    pub fn body_memory(&self) -> usize {
         self.memory_mb * (1024 * 1024 / 8)
     }
 }
@@ -81,13 +81,13 @@
     /// Where the platform is.
     pub platform: Option<SocketAddr>,
     /// State of the newest build as last told.
-    pub news: Option<State>,
+    pub rollout_status: Option<State>,
     /// The list of machines as last held.
-    pub known: Listing,
+    pub initial_list: Listing,
     /// The settings that the simulator would hand over.
     pub settings: Settings,
     /// Settings that are only watched: what they would have changed is counted.
-    pub watch: Option<Settings>,
+    pub shadow_settings: Option<Settings>,
 }
 
 /// The list held stays text until its lines are read one by one. Danger: taken apart at once it is ten times its size, and that
@@ -145,18 +145,18 @@
     })?;
     let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| ConfigError::field("seed", e))?;
     let settings = settings_of("settings", &file.settings)?;
-    let watch = match &file.watch {
+    let shadow_settings = match &file.watch {
         Some(over) => Some(watched(&settings, &file.settings, over)?),
         None => None,
     };
-    let known = match file.known {
+    let initial_list = match file.known {
         None => Listing::default(),
         Some(raw) => {
             list::decode(raw.get().as_bytes(), &settings.names).map_err(|e| ConfigError::field("known", e))?
         }
     };
-    let (platform, news) = file.rollouts.map_or((None, None), |r| (Some(r.address), r.news));
-    let news = match news {
+    let (platform, rollout_status) = file.rollouts.map_or((None, None), |r| (Some(r.address), r.news));
+    let rollout_status = match rollout_status {
         Some(fields) => Some(State::try_from(fields).map_err(|e| ConfigError::field("rollouts.news", e))?),
         None => None,
     };
@@ -170,10 +170,10 @@
         peers: file.peers,
         peers_all: file.peers_all,
         platform,
-        news,
-        known,
+        rollout_status,
+        initial_list,
         settings,
-        watch,
+        shadow_settings,
     })
 }
 
--- a/crates/yarrowspoke-front/src/driver.rs
+++ b/crates/yarrowspoke-front/src/driver.rs
@@ -1,13 +1,13 @@
 //! Drives the decision module: one clock, its timers, events in order, actions carried out.
 
+use crate::event_bus::EventBus;
 use crate::exchange::{Answer, Exchange};
-use crate::hub::Hub;
-use crate::input::{Addresses, Input, ListNews, Row};
+use crate::input::{Addresses, Input, ListMessage, Row};
 use crate::net::list::Discovery;
 use crate::net::machines::{load_values, Machines, Progress, Until};
 use crate::net::peers::Peers;
 use crate::net::platform::{self, Ballot};
-use crate::watch::Watch;
+use crate::shadow_settings::ShadowSettings;
 use async_channel::Receiver;
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
@@ -91,7 +91,7 @@
 pub struct Driver {
     front: Front,
     settings: Settings,
-    hub: Rc<Hub>,
+    hub: Rc<EventBus>,
     outside: Outside,
     open: BTreeMap<RequestId, Open>,
     flights: BTreeMap<(RequestId, u16), Flight>,
@@ -112,7 +112,7 @@
     votes: Rc<Cell<usize>>,
     sweeps: u32,
     follow: VecDeque<Follow>,
-    watched: Option<Watch>,
+    watched: Option<ShadowSettings>,
 }
 
 impl Driver {
@@ -122,7 +122,7 @@
         settings: Settings,
         known: (u64, Vec<Row>),
         news: Option<News>,
-        hub: Rc<Hub>,
+        hub: Rc<EventBus>,
         outside: Outside,
     ) -> Self {
         let (now, mut actions) = (hub.clock.now(), Vec::new());
@@ -156,7 +156,7 @@
         driver.list(ListKind::Cached, known.0, known.1);
         driver.follow_up();
         if let Some(news) = news {
-            driver.take(Input::News(news));
+            driver.take(Input::RolloutStatus(news));
         }
         driver.due(now + SWEEP, Due::Sweep);
         // Danger: where lists are pushed, what discovery has counts as told from the first moment, and what the
@@ -167,7 +167,7 @@
 
     /// Counts from now on what these settings would have changed.
     pub fn watch_for(&mut self, settings: yarrowspoke::interface::Settings) {
-        self.watched = Some(Watch::new(settings));
+        self.watched = Some(ShadowSettings::new(settings));
     }
 
     /// Requests that are not done with, and timers that are set.
@@ -223,7 +223,7 @@
     /// Tells now and then what is held, and what broke attempts since.
     fn report_held(&self) {
         let ((clients, lines), [fresh, kept]) =
-            (self.hub.places.held(), self.hub.idle.each_ref().map(|c| c.get()));
+            (self.hub.descriptors.in_use(), self.hub.idle_clients.each_ref().map(|c| c.get()));
         let (idle, broken) = (self.outside.machines.idle(), self.outside.machines.take_broken());
         log::info!(
             "clients {clients} ({fresh} new, {kept} kept idle), requests {}, attempts out {}, \
@@ -243,10 +243,10 @@
             calls.slowest_open,
             self.front.membership_counts(),
         );
-        if let Some((events, counts)) = self.watched.as_ref().map(Watch::counts) {
+        if let Some((events, counts)) = self.watched.as_ref().map(ShadowSettings::counts) {
             log::info!("watch: of {events} events otherwise under the settings watched: {counts:?}");
         }
-        for told in [self.hub.classifier.report(), self.hub.keeper.report()].into_iter().flatten() {
+        for told in [self.hub.classifier.report(), self.hub.ledger_writer.report()].into_iter().flatten() {
             log::info!("{told}");
         }
     }
@@ -254,14 +254,14 @@
     /// At a limit, tells what holds the places.
     fn report(&self) {
         let (((clients, held), (seats, lines)), idle) =
-            ((self.hub.places.held(), self.hub.places.most()), self.outside.machines.idle());
-        if clients < seats && held - idle < lines && !self.hub.places.is_full() {
+            ((self.hub.descriptors.in_use(), self.hub.descriptors.limits()), self.outside.machines.idle());
+        if clients < seats && held - idle < lines && !self.hub.descriptors.is_full() {
             return;
         }
         let unsent = self.flights.values().filter(|f| f.progress.get() < Progress::Written).count();
-        let [fresh, kept] = self.hub.idle.each_ref().map(|c| c.get());
-        let first = self.hub.first_bytes.take();
-        let waiting = self.open.values().filter(|o| !o.exchange.is_over()).count();
+        let [fresh, kept] = self.hub.idle_clients.each_ref().map(|c| c.get());
+        let first = self.hub.max_first_byte_wait.take();
+        let waiting = self.open.values().filter(|o| !o.exchange.is_finished()).count();
         let out = self.flights.len();
         log::warn!(
             "at a limit: clients {clients} of {seats} ({fresh} new, {kept} kept idle, \
@@ -285,7 +285,7 @@
                 Due::Overdue(id) => self.overdue(id),
                 Due::Sweep => {
                     self.outside.machines.sweep(now);
-                    self.hub.keeper.snapshot(now, &self.settings.names);
+                    self.hub.ledger_writer.write_snapshot(now, &self.settings.names);
                     self.report();
                     self.sweeps += 1;
                     if self.sweeps.is_multiple_of(REPORT_EVERY) {
@@ -302,46 +302,46 @@
     pub fn take(&mut self, input: Input) {
         match input {
             Input::Arrived(exchange) => self.arrived(exchange),
-            Input::Left(id) => self.left(id),
-            Input::Ended(id, attempt, Ok(reply)) => {
-                let report = reply.load.as_deref().unwrap_or_default();
+            Input::ClientLeft(id) => self.left(id),
+            Input::AttemptEnded(id, attempt, Ok(reply)) => {
+                let report = reply.load_report.as_deref().unwrap_or_default();
                 let load = load_values(report, &self.settings.names.load_fields);
-                if reply.ending == Ending::Ok {
+                if reply.outcome == Ending::Ok {
                     if let Some(open) = self.open.get(&id) {
                         open.exchange.answer(Answer::Served(reply.body));
                     }
                 }
-                self.land(id, attempt, reply.ending, load);
+                self.land(id, attempt, reply.outcome, load);
             }
-            Input::Ended(id, attempt, Err(ending)) => self.land(id, attempt, ending, Vec::new()),
-            Input::List(news) if self.outside.discovery.is_current(news.watch) => {
+            Input::AttemptEnded(id, attempt, Err(ending)) => self.land(id, attempt, ending, Vec::new()),
+            Input::ListUpdated(news) if self.outside.discovery.is_current(news.watch) => {
                 self.leaving = None;
                 if !news.kind.is_failure() {
-                    self.outside.discovery.hold(news.index, news.is_astray);
+                    self.outside.discovery.hold(news.index, news.needs_snapshot);
                 }
                 self.list(news.kind, news.index, news.rows);
             }
-            Input::List(news) => self.list_of_before(news),
+            Input::ListUpdated(news) => self.list_of_before(news),
             Input::ListConfirmed(watch, _) if !self.outside.discovery.is_current(watch) => {}
             Input::ListConfirmed(_, version) => {
                 self.leaving = None;
                 self.outside.discovery.hold(version, false);
                 self.tell(Event::List { kind: ListKind::Delta, version, entries: &[] });
             }
-            Input::News(news) => self.told(news),
-            Input::Fleet => self.fleet(),
-            Input::AskAgain => self.ask_again(),
-            Input::Message(from, bytes) => self.tell(Event::Message { from, bytes: &bytes }),
-            Input::Moved(addresses) => self.moved(addresses),
-            Input::Probed(machine, ending, took, load) => {
+            Input::RolloutStatus(news) => self.told(news),
+            Input::RestrictionsChanged => self.fleet(),
+            Input::RefreshSources => self.ask_again(),
+            Input::PeerMessage(from, bytes) => self.tell(Event::Message { from, bytes: &bytes }),
+            Input::AddressesChanged(addresses) => self.moved(addresses),
+            Input::ProbeEnded(machine, ending, took, load) => {
                 let load = load_values(load.as_deref().unwrap_or_default(), &self.settings.names.load_fields);
                 self.tell(Event::Probed { machine, ending, took, load: &load });
             }
-            Input::Rates(rates) => {
+            Input::ErrorRatesChanged(rates) => {
                 self.settings.module.verdicts = rates;
                 self.front.restate(self.settings.module.clone());
                 if let Some(watch) = &mut self.watched {
-                    watch.state_rates(rates);
+                    watch.set_error_rates(rates);
                 }
             }
         }
@@ -349,7 +349,7 @@
     }
 
     fn arrived(&mut self, exchange: Rc<Exchange>) {
-        if exchange.is_over() {
+        if exchange.is_finished() {
             return;
         }
         let (id, call) = (exchange.id, &exchange.call);
@@ -359,16 +359,16 @@
             remaining: exchange.deadline.saturating_sub(self.hub.clock.now()),
             key: call.key,
             tenant: call.tenant,
-            hint: call.hint,
-            repeat: call.repeat,
-            ruled: call.ruled,
+            hint: call.work_hint,
+            repeat: call.is_retry,
+            ruled: call.policy,
         };
         // Rule 1, last resort: should the module fail to answer, the client is told of the failure in time.
         let last = exchange.deadline + self.settings.module.answer_slack;
         let overdue = self.due(last, Due::Overdue(id));
         self.open.insert(id, Open { exchange, overdue, attempts: 0, out: 0, ran_from: None });
         if let Some(member) = &self.hub.member {
-            member.taken();
+            member.record_request();
         }
         self.tell(Event::Request(arrival));
         self.tidy(id);
@@ -402,9 +402,9 @@
         if kind != ListKind::Cached {
             self.hub.ready.set(true);
         }
-        self.hub.keeper.listed(kind, &rows);
+        self.hub.ledger_writer.record_list(kind, &rows);
         let rows = match &self.hub.member {
-            Some(member) => member.listed(kind, index, rows),
+            Some(member) => member.apply_list(kind, index, rows),
             None => rows,
         };
         self.put_list(kind, index, &rows);
@@ -412,7 +412,7 @@
 
     /// A watch that another has taken the place of tells what was written to it before. Danger: it counts as told, but the
     /// list may have gone on since, and discovery may be elsewhere: so it takes machines away and vouches for none.
-    fn list_of_before(&mut self, news: ListNews) {
+    fn list_of_before(&mut self, news: ListMessage) {
         let is_in_use =
             |row: &Row| matches!(self.listed.get(&row.entry.machine), Some((MachineState::Ready, _)));
         let leaves = |row: &Row| row.entry.state != MachineState::Ready && is_in_use(row);
@@ -430,7 +430,7 @@
         if !rows.is_empty() {
             self.put_list(ListKind::Narrowed, 0, &rows);
         }
-        if let Some(news) = member.changed_news() {
+        if let Some(news) = member.changed_status() {
             self.put_news(news);
         }
     }
@@ -470,7 +470,7 @@
             self.heard = Some(news);
         }
         let news = match &self.hub.member {
-            Some(member) if news.ending == Ending::Ok => member.told(news),
+            Some(member) if news.ending == Ending::Ok => member.apply_status(news),
             _ => news,
         };
         self.put_news(news);
@@ -485,7 +485,7 @@
             return;
         }
         self.news = Some(news);
-        self.hub.keeper.told(self.hub.clock.now(), &news);
+        self.hub.ledger_writer.record_status(self.hub.clock.now(), &news);
         // An attempt still unwritten when its build's cap falls.
         let fell = before.is_none_or(|b| b.build != news.build || news.cap < b.cap || b.phase != news.phase);
         if fell {
@@ -530,7 +530,7 @@
         while let Some(follow) = self.follow.pop_front() {
             match follow {
                 Follow::Outcome { id, attempt, machine, ending, took, load } => {
-                    let settled = self.open.get(&id).is_none_or(|o| o.exchange.is_over());
+                    let settled = self.open.get(&id).is_none_or(|o| o.exchange.is_finished());
                     let load = &load;
                     self.tell(Event::Outcome(Ended { id, attempt, machine, ending, settled, took, load }));
                     self.tidy(id);
@@ -542,7 +542,7 @@
 
     /// Forgets a request that is over once its attempts have ended.
     fn tidy(&mut self, id: RequestId) {
-        if self.open.get(&id).is_some_and(|o| o.out == 0 && o.exchange.is_over()) {
+        if self.open.get(&id).is_some_and(|o| o.out == 0 && o.exchange.is_finished()) {
             if let Some(open) = self.open.remove(&id) {
                 self.timers.remove(&open.overdue);
             }
@@ -559,7 +559,7 @@
             log::error!("decision module panicked on {event:?}");
         }
         if let (Some(watch), Some(before)) = (&mut self.watched, before) {
-            watch.look(before, now, &event, &actions);
+            watch.compare(before, now, &event, &actions);
         }
         actions.into_iter().for_each(|action| self.act(now, action));
     }
@@ -634,7 +634,7 @@
             log::debug!(class = open.exchange.call.class, answer:?; "given up");
             open.exchange.answer(answer);
             if let Some(member) = &self.hub.member {
-                member.given_up();
+                member.record_shed_request();
             }
         }
         self.tidy(id);
@@ -660,9 +660,9 @@
         open.attempts += 1;
         let exchange = Rc::clone(&open.exchange);
         let build = self.listed.get(&machine).map_or(0, |m| m.1);
-        let late = exchange.is_over() || now >= exchange.deadline;
+        let late = exchange.is_finished() || now >= exchange.deadline;
         // Danger: a process that stood still wakes up with the module's orders of before; the lease is looked at here.
-        let late = late || self.hub.member.as_ref().is_some_and(|m| m.leaves_out(machine, build));
+        let late = late || self.hub.member.as_ref().is_some_and(|m| m.excludes(machine, build));
         if late || u32::from(attempt) >= self.settings.module.max_attempts {
             let (ending, load) = (Ending::Moot, Vec::new());
             self.follow.push_back(Follow::Outcome { id, attempt, machine, ending, took: 0, load });
@@ -681,7 +681,7 @@
         let expires = self.due(until.expires, Due::Attempt(id, attempt));
         let progress = Rc::new(Cell::new(Progress::Connecting));
         if let Some(member) = &self.hub.member {
-            member.attempt(machine, build);
+            member.record_attempt(machine, build);
         }
         let (machines, hub) = (Rc::clone(&self.outside.machines), Rc::clone(&self.hub));
         let told = Rc::clone(&progress);
@@ -698,7 +698,7 @@
                 Err(_) if told.get() == Progress::Written => Err(Ending::Reset),
                 Err(_) => Err(Ending::ConnectFailed),
             };
-            let _ = hub.inputs.send(Input::Ended(id, attempt, result)).await;
+            let _ = hub.inputs.send(Input::AttemptEnded(id, attempt, result)).await;
         });
         let flight = Flight { machine, build, sent: now, expires, progress, _task: task };
         self.flights.insert((id, attempt), flight);
@@ -710,13 +710,13 @@
             let begun = hub.clock.now();
             let (ending, load) = machines.probe(machine, PROBE_LIMIT).await;
             let took = hub.clock.now() - begun;
-            let _ = hub.inputs.send(Input::Probed(machine, ending, took, load)).await;
+            let _ = hub.inputs.send(Input::ProbeEnded(machine, ending, took, load)).await;
         };
         self.outside.executor.spawn(probe).detach();
     }
 
     fn vote(&mut self, ballot: Ballot) {
-        let out = self.hub.member.as_ref().is_some_and(|m| m.is_out());
+        let out = self.hub.member.as_ref().is_some_and(|m| m.withholds_votes());
         let room = self.votes.get() < VOTE_LIMIT && !out;
         let Some(address) = self.outside.platform.filter(|_| room) else {
             let Ballot { build, stage, .. } = ballot;
@@ -729,7 +729,7 @@
         let limit = self.settings.module.release.call_timeout;
         votes.set(votes.get() + 1);
         if let Some(member) = &self.hub.member {
-            member.vote();
+            member.record_vote();
         }
         let cast = async move {
             platform::vote(address, ballot, limit, inputs).await;
--- a/crates/yarrowspoke-front/src/hub.rs
+++ b/crates/yarrowspoke-front/src/event_bus.rs
@@ -1,11 +1,11 @@
 //! What all client connections share with the driver.
 
 use crate::classify::Classifier;
+use crate::descriptor_budget::{BodyMemory, DescriptorBudget};
 use crate::exchange::{Call, CallIds, Exchange};
-use crate::input::{ClassFacts, Clock, Input};
-use crate::keeper::Keeper;
-use crate::member::Member;
-use crate::places::{Places, Store};
+use crate::fleet_member::Member;
+use crate::input::{ClassProtocol, Clock, Input};
+use crate::ledger_writer::LedgerWriter;
 use async_channel::{Receiver, Sender};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 const INPUT_LIMIT: usize = 4_096;
 
 /// What all client connections share with the driver.
-pub struct Hub {
+pub struct EventBus {
     /// The clock.
     pub clock: Clock,
     /// Where inputs go.
@@ -24,38 +24,38 @@
     /// Names behind positions.
     pub names: Names,
     /// What the protocol ties to each class.
-    pub classes: Vec<ClassFacts>,
+    pub classes: Vec<ClassProtocol>,
     /// The operators' rules.
     pub classifier: Rc<Classifier>,
     /// The store.
-    pub keeper: Keeper,
+    pub ledger_writer: LedgerWriter,
     /// This front as a member of a fleet, if it is one.
     pub member: Option<Rc<Member>>,
     /// Ids of calls.
-    pub ids: CallIds,
+    pub call_ids: CallIds,
     /// Room for large bodies.
-    pub store: Store,
+    pub body_memory: BodyMemory,
     /// The driver serves.
     pub ready: Cell<bool>,
     /// Descriptors.
-    pub places: Rc<Places>,
+    pub descriptors: Rc<DescriptorBudget>,
     /// Longest wait for a new connection's first bytes since it was last told.
-    pub first_bytes: Cell<Micros>,
+    pub max_first_byte_wait: Cell<Micros>,
     /// Client connections that have brought no request yet, and those between two requests.
-    pub idle: [Rc<Cell<usize>>; 2],
+    pub idle_clients: [Rc<Cell<usize>>; 2],
     next_id: Cell<RequestId>,
     bad: Cell<u64>,
     stop: (Sender<()>, Receiver<()>),
 }
 
-impl Hub {
+impl EventBus {
     /// A hub, and where its inputs come out; large bodies together hold `bodies` bytes at most.
     pub fn new(
         settings: &Settings,
-        places: Rc<Places>,
+        descriptors: Rc<DescriptorBudget>,
         bodies: usize,
         classifier: Rc<Classifier>,
-        keeper: Keeper,
+        ledger_writer: LedgerWriter,
         member: Option<Rc<Member>>,
     ) -> (Rc<Self>, Receiver<Input>) {
         let (inputs, receiver) = async_channel::bounded(INPUT_LIMIT);
@@ -63,16 +63,16 @@
             clock: Clock::start(),
             inputs,
             names: settings.names.clone(),
-            classes: settings.module.classes.iter().map(ClassFacts::of).collect(),
+            classes: settings.module.classes.iter().map(ClassProtocol::of).collect(),
             classifier,
-            keeper,
+            ledger_writer,
             member,
-            ids: CallIds::default(),
-            store: Store::new(bodies),
+            call_ids: CallIds::default(),
+            body_memory: BodyMemory::new(bodies),
             ready: Cell::new(false),
-            places,
-            first_bytes: Cell::new(0),
-            idle: Default::default(),
+            descriptors,
+            max_first_byte_wait: Cell::new(0),
+            idle_clients: Default::default(),
             next_id: Cell::new(1),
             bad: Cell::new(0),
             stop: async_channel::bounded(1),
@@ -81,8 +81,8 @@
     }
 
     /// Whether this front's place in its fleet lets it take a new request; one by itself always may.
-    pub fn takes(&self) -> bool {
-        self.member.as_ref().is_none_or(|m| m.takes())
+    pub fn accepts_requests(&self) -> bool {
+        self.member.as_ref().is_none_or(|m| m.accepts_requests())
     }
 
     /// Begins the stop: what is there and what still comes is served, then connections end.
@@ -96,17 +96,17 @@
     }
 
     /// Waits for the stop to begin.
-    pub async fn stopped(&self) {
+    pub async fn stop_begun(&self) {
         let _ = self.stop.1.recv().await;
     }
 
     /// Counts a request that could not be read or is none.
-    pub fn count_bad(&self) {
+    pub fn count_malformed(&self) {
         self.bad.set(self.bad.get() + 1);
     }
 
     /// A request just read, which came `aged` before.
-    pub fn exchange(&self, call: Call, aged: Micros) -> Rc<Exchange> {
+    pub fn open_exchange(&self, call: Call, aged: Micros) -> Rc<Exchange> {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
         Exchange::new(id, call, self.clock.now().saturating_sub(aged))
--- a/crates/yarrowspoke-front/src/exchange.rs
+++ b/crates/yarrowspoke-front/src/exchange.rs
@@ -28,11 +28,11 @@
     /// Its subject; 0 = none.
     pub key: u64,
     /// The client's guess at the work.
-    pub hint: Option<Micros>,
+    pub work_hint: Option<Micros>,
     /// Marked as a repeat.
-    pub repeat: bool,
+    pub is_retry: bool,
     /// What the operators' rules say of it.
-    pub ruled: Ruled,
+    pub policy: Ruled,
     /// The body, passed on unchanged.
     pub body: Vec<u8>,
 }
@@ -57,7 +57,7 @@
 const ANSWERED_KEPT: usize = 4_096;
 
 /// An id in use, until dropped.
-pub struct OpenId {
+pub struct OpenCallId {
     seen: Rc<RefCell<Seen>>,
     id: u64,
 }
@@ -65,7 +65,7 @@
 impl CallIds {
     /// Takes an id into use; `None` if it is open or was answered lately, as ids are fresh on every request. With `again`
     /// an answered one may come again: a ledger knows what became of it.
-    pub fn open(&self, call_id: &str, again: bool) -> Option<OpenId> {
+    pub fn open(&self, call_id: &str, again: bool) -> Option<OpenCallId> {
         let mut hasher = DefaultHasher::new();
         call_id.hash(&mut hasher);
         let id = hasher.finish();
@@ -74,12 +74,12 @@
         let free = fresh || again && !seen.open.contains(&id);
         free.then(|| {
             seen.open.insert(id);
-            OpenId { seen: Rc::clone(&self.seen), id }
+            OpenCallId { seen: Rc::clone(&self.seen), id }
         })
     }
 }
 
-impl Drop for OpenId {
+impl Drop for OpenCallId {
     fn drop(&mut self) {
         let mut seen = self.seen.borrow_mut();
         seen.open.remove(&self.id);
@@ -118,7 +118,7 @@
     /// What was asked.
     pub call: Call,
     /// When its last byte came.
-    pub arrived: Micros,
+    pub arrived_at: Micros,
     /// When the client stops waiting.
     pub deadline: Micros,
     slot: RefCell<Slot>,
@@ -126,9 +126,9 @@
 
 impl Exchange {
     /// A request that has just come.
-    pub fn new(id: RequestId, call: Call, arrived: Micros) -> Rc<Self> {
-        let deadline = arrived.saturating_add(call.budget);
-        Rc::new(Self { id, call, arrived, deadline, slot: RefCell::default() })
+    pub fn new(id: RequestId, call: Call, arrived_at: Micros) -> Rc<Self> {
+        let deadline = arrived_at.saturating_add(call.budget);
+        Rc::new(Self { id, call, arrived_at, deadline, slot: RefCell::default() })
     }
 
     /// Gives the final answer; false if there was one already or the client has left.
@@ -146,17 +146,17 @@
     }
 
     /// The client has left; false if the answer was given before.
-    pub fn leave(&self) -> bool {
+    pub fn abandon(&self) -> bool {
         !std::mem::replace(&mut self.slot.borrow_mut().over, true)
     }
 
     /// Whether the request has its final answer or nobody waits for one.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.slot.borrow().over
     }
 
     /// Waits for the final answer.
-    pub async fn answered(&self) -> Answer {
+    pub async fn wait_for_answer(&self) -> Answer {
         poll_fn(|context| {
             let mut slot = self.slot.borrow_mut();
             match slot.answer.take() {
--- a/crates/yarrowspoke-front/src/explain.rs
+++ b/crates/yarrowspoke-front/src/explain.rs
@@ -1,9 +1,9 @@
 //! `yarrowspoke explain`: what the rules make of one request, and why.
 
-use crate::classify::{as_request, world, Classifier};
-use crate::cli::Told;
+use crate::classify::{as_request, rule_context, Classifier};
+use crate::cli::CommandOutput;
 use crate::config;
-use crate::input::ClassFacts;
+use crate::input::ClassProtocol;
 use crate::net::asked::{Asked, AskedHead};
 use crate::net::http::{Decoder, BODY_LIMIT};
 use std::fmt::Write;
@@ -13,10 +13,10 @@
 
 /// Explains what the rules of the operator's file make of the request in a file, as bytes of HTTP/1.1. With a
 /// configuration the rules are bound to its settings; without one the request's own names are taken as known.
-pub fn explain(file: &Path, request: &Path, configuration: Option<&Path>, all: bool) -> Told {
+pub fn explain(file: &Path, request: &Path, configuration: Option<&Path>, all: bool) -> CommandOutput {
     match told(file, request, configuration, all) {
-        Ok(text) => Told { text, right: true },
-        Err(text) => Told { text: format!("{text}\n"), right: false },
+        Ok(text) => CommandOutput { text, success: true },
+        Err(text) => CommandOutput { text: format!("{text}\n"), success: false },
     }
 }
 
@@ -29,7 +29,7 @@
     let bytes = std::fs::read(request).map_err(|e| format!("{shown}: {e}"))?;
     let config = configuration.map(config::load).transpose().map_err(|e| e.to_string())?;
     if let Some(config) = &config {
-        rules.bind(&world(&config.settings)).map_err(|faults| {
+        rules.bind(&rule_context(&config.settings)).map_err(|faults| {
             let lines: Vec<String> = faults.iter().map(|f| format!("{}:{f}", file.display())).collect();
             lines.join("\n")
         })?;
@@ -38,9 +38,9 @@
         Some(config) => config.settings.names.clone(),
         None => named_in(&bytes),
     };
-    let facts: Vec<ClassFacts> = match &config {
-        Some(config) => config.settings.module.classes.iter().map(ClassFacts::of).collect(),
-        None => names.classes.iter().map(|_| ClassFacts { deadline: 0, method: None }).collect(),
+    let facts: Vec<ClassProtocol> = match &config {
+        Some(config) => config.settings.module.classes.iter().map(ClassProtocol::of).collect(),
+        None => names.classes.iter().map(|_| ClassProtocol { deadline: 0, method: None }).collect(),
     };
     let classifier = Classifier::new(0);
     classifier.load(Some(rules));
--- a/crates/yarrowspoke-front/src/fleets.rs
+++ b/crates/yarrowspoke-front/src/fleet_commands.rs
@@ -1,6 +1,6 @@
 //! `yarrowspoke fleet`: what a planner, or its directory, knows of a fleet.
 
-use crate::cli::{AskedOf, OrderAt, RecordAt, Told};
+use crate::cli::{CommandOutput, OrderArgs, RecordFilter, RecordSource};
 use crate::net::fleet::exchange;
 use crate::net::within;
 use crate::planner;
@@ -15,10 +15,10 @@
 /// How long a planner may take to answer an operator.
 const PATIENCE: Duration = Duration::from_secs(10);
 
-fn told(done: Result<String, String>) -> Told {
+fn told(done: Result<String, String>) -> CommandOutput {
     match done {
-        Ok(text) => Told { text, right: true },
-        Err(text) => Told { text: format!("{text}\n"), right: false },
+        Ok(text) => CommandOutput { text, success: true },
+        Err(text) => CommandOutput { text: format!("{text}\n"), success: false },
     }
 }
 
@@ -42,7 +42,7 @@
 }
 
 /// What one planner knows now.
-pub fn status(at: SocketAddr, json: bool) -> Told {
+pub fn status(at: SocketAddr, json: bool) -> CommandOutput {
     let asked = || {
         let body = get(at, "/fleet/status")?;
         if json {
@@ -90,11 +90,11 @@
     }
 }
 
-fn record(from: &RecordAt, of: &AskedOf) -> Result<Audit, String> {
+fn record(from: &RecordSource, of: &RecordFilter) -> Result<Audit, String> {
     let asked =
         Asked { front: of.front.clone(), index: of.version, from: micros(of.from)?, to: micros(of.to)? };
     if let Some(dir) = &from.dir {
-        let (book, spoilt) = planner::read_book(dir)?;
+        let (book, spoilt) = planner::read_report_log(dir)?;
         if !spoilt.is_empty() {
             return Err(spoilt.join("\n"));
         }
@@ -116,7 +116,7 @@
 }
 
 /// Which front acted on which version when: a line for each stretch on one version.
-pub fn audit(from: &RecordAt, of: &AskedOf, json: bool) -> Told {
+pub fn audit(from: &RecordSource, of: &RecordFilter, json: bool) -> CommandOutput {
     let drawn = || {
         let audit = record(from, of)?;
         if json {
@@ -191,7 +191,7 @@
     serde_json::from_slice(&get(at, "/fleet/agreed")?).map_err(|e| format!("{at}: {e}"))
 }
 
-fn ordered(to: &OrderAt, fields: &[(&str, &str)], number: u64) -> Result<String, String> {
+fn ordered(to: &OrderArgs, fields: &[(&str, &str)], number: u64) -> Result<String, String> {
     let ticket = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as u64);
     let mut body = serde_json::json!({"by": to.by, "knows": to.knows, "ticket": ticket, "number": number});
     for (name, value) in fields {
@@ -219,17 +219,17 @@
 }
 
 /// Gives an order and waits until it is agreed on; exit status 1 if it is refused or nobody can tell.
-pub fn order(to: &OrderAt, fields: &[(&str, &str)]) -> Told {
+pub fn order(to: &OrderArgs, fields: &[(&str, &str)]) -> CommandOutput {
     told(ordered(to, fields, 0))
 }
 
 /// Takes a permit away by its number.
-pub fn free(to: &OrderAt, front: &str, number: u64) -> Told {
+pub fn free(to: &OrderArgs, front: &str, number: u64) -> CommandOutput {
     told(ordered(to, &[("what", "free"), ("front", front)], number))
 }
 
 /// Who may be out, who waits, who is lost.
-pub fn permits(at: SocketAddr, json: bool) -> Told {
+pub fn permits(at: SocketAddr, json: bool) -> CommandOutput {
     let shown = || {
         let agreed = agreed(at)?;
         if json {
@@ -257,9 +257,9 @@
 }
 
 /// Checks chains, gaps and contradictions of a directory.
-pub fn verify(dir: &Path) -> Told {
+pub fn verify(dir: &Path) -> CommandOutput {
     let verified = || {
-        let (book, spoilt) = planner::read_book(dir)?;
+        let (book, spoilt) = planner::read_report_log(dir)?;
         let mut text = String::new();
         for (front, incarnation) in book.incarnations() {
             let (view, gaps) = (book.view(front, incarnation), book.gaps(front, incarnation));
--- a/crates/yarrowspoke-front/src/member.rs
+++ b/crates/yarrowspoke-front/src/fleet_member.rs
@@ -130,47 +130,47 @@
     }
 
     /// Whether a new request may be taken now. Looked at for each: a process that stood still wakes on an old lease.
-    pub fn takes(&self) -> bool {
+    pub fn accepts_requests(&self) -> bool {
         self.side.borrow().takes(self.now())
     }
 
     /// When one that is not taken may come back.
-    pub fn come_back(&self) -> Micros {
+    pub fn retry_after(&self) -> Micros {
         self.come_back
     }
 
     /// Whether votes are withheld.
-    pub fn is_out(&self) -> bool {
+    pub fn withholds_votes(&self) -> bool {
         self.side.borrow().stance(self.now()) == Stance::Out
     }
 
     /// Whether nothing may be sent there now, whatever the module knows yet.
-    pub fn leaves_out(&self, machine: MachineId, build: Build) -> bool {
+    pub fn excludes(&self, machine: MachineId, build: Build) -> bool {
         self.side.borrow().leaves_out(self.now(), machine, build)
     }
 
     /// A request is taken.
-    pub fn taken(&self) {
+    pub fn record_request(&self) {
         self.side.borrow_mut().recorder().taken();
     }
 
     /// An attempt is sent.
-    pub fn attempt(&self, machine: MachineId, build: Build) {
+    pub fn record_attempt(&self, machine: MachineId, build: Build) {
         self.side.borrow_mut().recorder().attempt(machine, build);
     }
 
     /// A vote is cast.
-    pub fn vote(&self) {
+    pub fn record_vote(&self) {
         self.side.borrow_mut().recorder().vote();
     }
 
     /// A request is refused or failed.
-    pub fn given_up(&self) {
+    pub fn record_shed_request(&self) {
         self.side.borrow_mut().recorder().given_up();
     }
 
     /// Its own sources told a list, or a part of it; what the module is to be told instead.
-    pub fn listed(&self, kind: ListKind, index: u64, rows: Vec<Row>) -> Vec<Row> {
+    pub fn apply_list(&self, kind: ListKind, index: u64, rows: Vec<Row>) -> Vec<Row> {
         if kind.is_failure() {
             return rows;
         }
@@ -251,7 +251,7 @@
     }
 
     /// Its own source told news; what the module is to be told instead.
-    pub fn told(&self, news: News) -> News {
+    pub fn apply_status(&self, news: News) -> News {
         self.side.borrow_mut().told(self.clocks(), told(&news));
         self.news.set(Some(news));
         let news = self.narrowed(news);
@@ -260,7 +260,7 @@
     }
 
     /// News that the module is to be told again, as planners have taken something away.
-    pub fn changed_news(&self) -> Option<News> {
+    pub fn changed_status(&self) -> Option<News> {
         let narrowed = News { answer: false, age: 0, ..self.narrowed(self.news.get()?) };
         let now = told(&narrowed);
         let changed = self.shown_news.get().is_some_and(|shown| now.narrows(&shown));
@@ -272,7 +272,7 @@
     }
 
     /// The files were read again.
-    pub fn reread(&self, digests: Digests, fleet: Option<Fleet>) {
+    pub fn reload(&self, digests: Digests, fleet: Option<Fleet>) {
         let mut side = self.side.borrow_mut();
         side.reread(self.clocks(), digests);
         if let Some(fleet) = fleet {
@@ -327,7 +327,7 @@
             let renew = member.side.borrow().fleet().renew;
             Timer::after(Duration::from_micros(renew)).await;
             member.tick();
-            let _ = inputs.send(Input::Fleet).await;
+            let _ = inputs.send(Input::RestrictionsChanged).await;
         }
     };
     executor.spawn(ticks).detach();
@@ -361,10 +361,10 @@
             Ok(answer) if answer.planner == name => {
                 let change = member.answered(n, sent_at, answer);
                 if change.narrowed {
-                    let _ = inputs.send(Input::Fleet).await;
+                    let _ = inputs.send(Input::RestrictionsChanged).await;
                 }
                 if change.again && member.asks_again() {
-                    let _ = inputs.send(Input::AskAgain).await;
+                    let _ = inputs.send(Input::RefreshSources).await;
                 }
             }
             Ok(other) => log::error!("fleet: {name} answers as {}", other.planner),
--- a/crates/yarrowspoke-front/src/input.rs
+++ b/crates/yarrowspoke-front/src/input.rs
@@ -46,9 +46,9 @@
 #[derive(Debug)]
 pub struct Reply {
     /// The outcome that it stands for.
-    pub ending: Ending,
+    pub outcome: Ending,
     /// The load report as it came.
-    pub load: Option<String>,
+    pub load_report: Option<String>,
     /// The body.
     pub body: Vec<u8>,
 }
@@ -67,14 +67,14 @@
 }
 
 /// What the protocol ties to a class.
-pub struct ClassFacts {
+pub struct ClassProtocol {
     /// Its deadline, for requests that state no budget.
     pub deadline: Micros,
     /// Its method, where the protocol names one.
     pub method: Option<&'static str>,
 }
 
-impl ClassFacts {
+impl ClassProtocol {
     /// Of a class as the settings tell it.
     pub fn of(class: &Class) -> Self {
         let method = match class.effect {
@@ -87,19 +87,19 @@
 }
 
 /// Names a watch: one that another has taken the place of may still have something to say, but vouches for nothing.
-pub type WatchNumber = u64;
+pub type SubscriptionId = u64;
 
 /// What a watch or a call hands over.
 #[derive(Debug)]
-pub struct ListNews {
+pub struct ListMessage {
     /// The watch that heard it.
-    pub watch: WatchNumber,
+    pub watch: SubscriptionId,
     /// What the rows are.
     pub kind: ListKind,
     /// Discovery's version.
     pub index: u64,
     /// The version is not one that changes can be asked for from: only the whole list tells what has changed.
-    pub is_astray: bool,
+    pub needs_snapshot: bool,
     /// Machines.
     pub rows: Vec<Row>,
 }
@@ -109,25 +109,25 @@
     /// A request has come.
     Arrived(Rc<Exchange>),
     /// Its client has left.
-    Left(RequestId),
+    ClientLeft(RequestId),
     /// An attempt has ended by itself.
-    Ended(RequestId, u16, Result<Reply, Ending>),
+    AttemptEnded(RequestId, u16, Result<Reply, Ending>),
     /// A probe of a machine has ended: how, how long it took, and the load report as it came.
-    Probed(MachineId, Ending, Micros, Option<String>),
+    ProbeEnded(MachineId, Ending, Micros, Option<String>),
     /// Discovery has told something, or failed.
-    List(ListNews),
+    ListUpdated(ListMessage),
     /// Discovery has told this watch that there is nothing new: the list held was current just now, which is of this version.
-    ListConfirmed(WatchNumber, u64),
+    ListConfirmed(SubscriptionId, u64),
     /// The platform has told something, or answered a vote.
-    News(News),
+    RolloutStatus(News),
     /// A peer's message.
-    Message(u32, Vec<u8>),
+    PeerMessage(u32, Vec<u8>),
     /// A new configuration names other addresses.
-    Moved(Addresses),
+    AddressesChanged(Addresses),
     /// Rates of judging that the operators state from now on.
-    Rates(Option<Verdicts>),
+    ErrorRatesChanged(Option<Verdicts>),
     /// What planners take away may have changed.
-    Fleet,
+    RestrictionsChanged,
     /// This front is behind the others: its own sources are to be asked anew.
-    AskAgain,
+    RefreshSources,
 }
--- a/crates/yarrowspoke-front/src/keeper.rs
+++ b/crates/yarrowspoke-front/src/ledger_writer.rs
@@ -24,15 +24,15 @@
 const COME_BACK: Micros = 1_000_000;
 
 /// What becomes of a request that must not run twice.
-pub enum Kept {
+pub enum LedgerDecision {
     /// It may go; its intent is durable under this id.
-    Go(u128),
+    Admitted(u128),
     /// It has its answer without going anywhere.
     Answered(Answer),
     /// It was done before and its answer is not kept: neither a refusal nor leave to try again.
     AlreadyDone,
     /// It is open.
-    Open,
+    InProgress,
 }
 
 /// A class, as far as the store minds it.
@@ -52,7 +52,7 @@
 
 /// The store, or none.
 #[derive(Default)]
-pub struct Keeper {
+pub struct LedgerWriter {
     on: Option<On>,
     refused: Cell<u64>,
     again: Cell<u64>,
@@ -64,7 +64,7 @@
     changed: Cell<bool>,
 }
 
-impl Keeper {
+impl LedgerWriter {
     /// A keeper over an open store.
     pub fn new(hand: Hand, settings: StoreSettings, front: &Settings) -> Self {
         let class = |c: &yarrowspoke::interface::Class| {
@@ -79,9 +79,9 @@
     }
 
     /// Whether a call passes the store.
-    pub fn guards(&self, call: &Call) -> bool {
+    pub fn requires_record(&self, call: &Call) -> bool {
         let effect = |on: &On| on.classes.get(usize::from(call.class)).map(|c| c.effect);
-        self.on.as_ref().and_then(effect).is_some_and(|e| e != Effect::Repeatable || call.ruled.once)
+        self.on.as_ref().and_then(effect).is_some_and(|e| e != Effect::Repeatable || call.policy.once)
     }
 
     /// Whether the front is to say that it is not ready, as its disk has failed.
@@ -89,10 +89,10 @@
         self.on.as_ref().is_some_and(|on| on.settings.down_when_failed && on.hand.has_failed())
     }
 
-    /// Rules on a call that [`Keeper::guards`], once its intent is durable. Danger: a stuck disk must hold up nobody else, nor
+    /// Rules on a call that [`LedgerWriter::requires_record`], once its intent is durable. Danger: a stuck disk must hold up nobody else, nor
     /// this client for longer than is stated: it is refused then, as nothing of it was sent.
-    pub async fn begin(&self, call: &Call) -> Kept {
-        let Some(on) = &self.on else { return Kept::Open };
+    pub async fn record_intent(&self, call: &Call) -> LedgerDecision {
+        let Some(on) = &self.on else { return LedgerDecision::InProgress };
         let (id, keep) = on.id(call);
         let done = match on.hand.give(Op::Begin { id, keep }) {
             Ok(pending) => within(Duration::from_micros(on.settings.stuck), pending.done()).await,
@@ -109,28 +109,28 @@
         }
     }
 
-    fn refuse(&self, after: Micros) -> Kept {
+    fn refuse(&self, after: Micros) -> LedgerDecision {
         self.refused.set(self.refused.get() + 1);
-        Kept::Answered(Answer::Refused(after))
+        LedgerDecision::Answered(Answer::Refused(after))
     }
 
-    fn ruled(&self, id: u128, ruling: Ruling) -> Kept {
+    fn ruled(&self, id: u128, ruling: Ruling) -> LedgerDecision {
         if !matches!(ruling, Ruling::Admit | Ruling::Full(_)) {
             self.again.set(self.again.get() + 1);
         }
         match ruling {
-            Ruling::Admit => Kept::Go(id),
-            Ruling::Again(body) => Kept::Answered(Answer::Served(body)),
-            Ruling::AlreadyDone => Kept::AlreadyDone,
-            Ruling::FailedBefore | Ruling::InDoubt => Kept::Answered(Answer::Failed),
-            Ruling::Open => Kept::Open,
+            Ruling::Admit => LedgerDecision::Admitted(id),
+            Ruling::Again(body) => LedgerDecision::Answered(Answer::Served(body)),
+            Ruling::AlreadyDone => LedgerDecision::AlreadyDone,
+            Ruling::FailedBefore | Ruling::InDoubt => LedgerDecision::Answered(Answer::Failed),
+            Ruling::Open => LedgerDecision::InProgress,
             Ruling::Full(after) => self.refuse(after),
         }
     }
 
     /// Records the end of a call before its client is told; `None` if the client left, and nobody knows whether it ran.
     /// A disk that fails now leaves it in doubt, which is safe; the answer is owed all the same.
-    pub async fn end(&self, id: u128, call: &Call, answer: Option<&Answer>) {
+    pub async fn record_outcome(&self, id: u128, call: &Call, answer: Option<&Answer>) {
         let Some(on) = &self.on else { return };
         let (_, keep) = on.id(call);
         let state = match answer {
@@ -146,7 +146,7 @@
 
     /// The list has been told. One held from before a start is where changes go on from, and by itself nothing to write
     /// down: it would look younger than it is.
-    pub fn listed(&self, kind: ListKind, rows: &[Row]) {
+    pub fn record_list(&self, kind: ListKind, rows: &[Row]) {
         if self.on.is_none() || kind.is_failure() {
             return;
         }
@@ -166,7 +166,7 @@
     }
 
     /// The platform has told something.
-    pub fn told(&self, now: Micros, news: &News) {
+    pub fn record_status(&self, now: Micros, news: &News) {
         if self.on.is_none() {
             return;
         }
@@ -178,14 +178,14 @@
     }
 
     /// Writes what is known, if it has changed and the last time was long enough ago. Nobody waits for it.
-    pub fn snapshot(&self, now: Micros, names: &Names) {
+    pub fn write_snapshot(&self, now: Micros, names: &Names) {
         let Some(on) = &self.on else { return };
         if !self.changed.get() || now < self.snapshot_at.get() + SNAPSHOT_EVERY {
             return;
         }
         let lines = self.rows.borrow().values().map(|r| line(r, names)).collect();
         let news = self.news.borrow().clone();
-        let known = Known { at: now, deployment: deployment(names), index: 0, lines, news };
+        let known = Known { at: now, deployment: deployment_key(names), index: 0, lines, news };
         if on.hand.give(Op::Snapshot(known)).is_ok() {
             self.changed.set(false);
             self.snapshot_at.set(now);
@@ -222,7 +222,7 @@
 const PHASES: [Phase; 4] = [Phase::Trial, Phase::GoingBack, Phase::Released, Phase::Withdrawn];
 
 /// What a deployment's names come to, so that a snapshot of another one is known as such.
-pub fn deployment(names: &Names) -> String {
+pub fn deployment_key(names: &Names) -> String {
     [&names.classes, &names.zones, &names.kinds, &names.tenants].map(|n| n.join(",")).join(";")
 }
 
@@ -243,7 +243,7 @@
 }
 
 /// The rows of a snapshot, as discovery would have told them.
-pub fn rows(known: &Known, names: &Names) -> Vec<Row> {
+pub fn snapshot_rows(known: &Known, names: &Names) -> Vec<Row> {
     let place = |all: &[String], name: &str| all.iter().position(|n| n == name);
     let row = |l: &Line| {
         let entry = yarrowspoke::interface::Entry {
--- a/crates/yarrowspoke-front/src/lib.rs
+++ b/crates/yarrowspoke-front/src/lib.rs
@@ -1,22 +1,22 @@
 //! The real front as a library, so that its parts can be tested without a process.
 
-pub mod agree;
+pub mod agreed_log;
 pub mod check;
 pub mod classify;
 pub mod cli;
 pub mod config;
+pub mod descriptor_budget;
 pub mod driver;
+pub mod event_bus;
 pub mod exchange;
 pub mod explain;
-pub mod fleets;
-pub mod hub;
+pub mod fleet_commands;
+pub mod fleet_member;
 pub mod input;
-pub mod keeper;
+pub mod ledger_writer;
 pub mod logging;
-pub mod member;
 pub mod net;
-pub mod places;
 pub mod planner;
 pub mod run;
-pub mod stores;
-pub mod watch;
+pub mod shadow_settings;
+pub mod store_commands;
--- a/crates/yarrowspoke-front/src/logging.rs
+++ b/crates/yarrowspoke-front/src/logging.rs
@@ -16,7 +16,7 @@
 pub fn start() -> io::Result<()> {
     let (lines, queue) = sync_channel(QUEUE);
     std::thread::Builder::new().name("log".into()).stack_size(64 * 1024).spawn(move || write_out(&queue))?;
-    let gate = Gate::new(lines, BURST);
+    let gate = RateLimitedWriter::new(lines, BURST);
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info"))
         .target(env_logger::Target::Pipe(Box::new(gate)))
         .init();
@@ -33,14 +33,14 @@
 }
 
 /// Lets lines through while they are few and the writer keeps up.
-pub struct Gate {
+pub struct RateLimitedWriter {
     lines: SyncSender<Vec<u8>>,
     left: f64,
     at: Instant,
     dropped: u64,
 }
 
-impl Gate {
+impl RateLimitedWriter {
     /// A gate to these lines that lets `at_once` of them through before the steady rate holds.
     pub fn new(lines: SyncSender<Vec<u8>>, at_once: f64) -> Self {
         Self { lines, left: at_once, at: Instant::now(), dropped: 0 }
@@ -52,7 +52,7 @@
     }
 }
 
-impl Write for Gate {
+impl Write for RateLimitedWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let now = Instant::now();
         self.left = (self.left + RATE * now.duration_since(self.at).as_secs_f64()).min(BURST);
--- a/crates/yarrowspoke-front/src/main.rs
+++ b/crates/yarrowspoke-front/src/main.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 use yarrowspoke_front::cli::{self, Cli, Command, FleetCommand, StoreCommand};
-use yarrowspoke_front::{explain, fleets, logging, planner, run, stores};
+use yarrowspoke_front::{explain, fleet_commands, logging, planner, run, store_commands};
 
 fn main() -> ExitCode {
     // Only builds made to try the rig's checker have any; a release build knows none.
@@ -16,23 +16,25 @@
         Some(Command::Serve { operator }) => serve(operator),
         Some(Command::Check { file, config, fleet }) => tell(cli::check(&file, config.as_deref(), &fleet)),
         Some(Command::Store { what }) => tell(match what {
-            StoreCommand::Inspect { dir } => stores::inspect(&dir),
-            StoreCommand::Verify { dir } => stores::verify(&dir),
-            StoreCommand::Compact { dir } => stores::compact(&dir),
+            StoreCommand::Inspect { dir } => store_commands::inspect(&dir),
+            StoreCommand::Verify { dir } => store_commands::verify(&dir),
+            StoreCommand::Compact { dir } => store_commands::compact(&dir),
         }),
         Some(Command::Planner { name, operator, dir, found }) => plan(&name, &operator, dir, found),
         Some(Command::Fleet { what }) => tell(match what {
-            FleetCommand::Status { at, json } => fleets::status(at, json),
-            FleetCommand::Audit { from, asked, json } => fleets::audit(&from, &asked, json),
+            FleetCommand::Status { at, json } => fleet_commands::status(at, json),
+            FleetCommand::Audit { from, asked, json } => fleet_commands::audit(&from, &asked, json),
             FleetCommand::Out { at, front, cause } => {
-                fleets::order(&at, &[("what", "out"), ("front", &front), ("why", &cause)])
+                fleet_commands::order(&at, &[("what", "out"), ("front", &front), ("why", &cause)])
             }
-            FleetCommand::In { at, front } => fleets::order(&at, &[("what", "in"), ("front", &front)]),
-            FleetCommand::Halt { at, why } => fleets::order(&at, &[("what", "halt"), ("why", &why)]),
-            FleetCommand::Resume { at } => fleets::order(&at, &[("what", "resume")]),
-            FleetCommand::Free { at, front, number } => fleets::free(&at, &front, number),
-            FleetCommand::Permits { at, json } => fleets::permits(at, json),
-            FleetCommand::Verify { dir } => fleets::verify(&dir),
+            FleetCommand::In { at, front } => {
+                fleet_commands::order(&at, &[("what", "in"), ("front", &front)])
+            }
+            FleetCommand::Halt { at, why } => fleet_commands::order(&at, &[("what", "halt"), ("why", &why)]),
+            FleetCommand::Resume { at } => fleet_commands::order(&at, &[("what", "resume")]),
+            FleetCommand::Free { at, front, number } => fleet_commands::free(&at, &front, number),
+            FleetCommand::Permits { at, json } => fleet_commands::permits(at, json),
+            FleetCommand::Verify { dir } => fleet_commands::verify(&dir),
         }),
         Some(Command::Power { file, fleet }) => tell(cli::power(&file, &fleet)),
         Some(Command::Explain { file, request, config, all }) => {
@@ -41,8 +43,8 @@
     }
 }
 
-fn tell(told: cli::Told) -> ExitCode {
-    if told.right {
+fn tell(told: cli::CommandOutput) -> ExitCode {
+    if told.success {
         print!("{}", told.text);
         ExitCode::SUCCESS
     } else {
--- a/crates/yarrowspoke-front/src/net/asked.rs
+++ b/crates/yarrowspoke-front/src/net/asked.rs
@@ -1,9 +1,9 @@
 //! What clients ask, from a request's head and body to a call.
 
 use super::http::{Framing, FromHead, HttpError, RawHead};
-use crate::classify::{Classifier, Loaded};
+use crate::classify::{Classifier, LoadedRules};
 use crate::exchange::Call;
-use crate::input::ClassFacts;
+use crate::input::ClassProtocol;
 use std::rc::Rc;
 use yarrowspoke::interface::{Micros, Ruled};
 use yarrowspoke_settings::Names;
@@ -37,7 +37,7 @@
     hint: Option<Micros>,
     repeat: bool,
     /// The rules under which it came, and the headers that they read.
-    rules: Option<(Rc<Loaded>, Vec<Option<String>>)>,
+    rules: Option<(Rc<LoadedRules>, Vec<Option<String>>)>,
 }
 
 impl FromHead for AskedHead {
@@ -97,7 +97,7 @@
 
 impl AskedHead {
     /// The rules under which it came, with the headers that they read: whoever takes them rules it himself.
-    pub fn take_rules(&mut self) -> Option<(Rc<Loaded>, Vec<Option<String>>)> {
+    pub fn take_rules(&mut self) -> Option<(Rc<LoadedRules>, Vec<Option<String>>)> {
         self.rules.take()
     }
 
@@ -107,7 +107,7 @@
         mut self,
         body: Vec<u8>,
         names: &Names,
-        classes: &[ClassFacts],
+        classes: &[ClassProtocol],
         classifier: &Classifier,
         now: Micros,
     ) -> Asked {
@@ -136,9 +136,9 @@
             tenant: tenant.map_or(u32::MAX, |t| t as u32),
             budget: self.budget.unwrap_or(facts.deadline),
             key,
-            hint: self.hint,
-            repeat: self.repeat,
-            ruled: Ruled::default(),
+            work_hint: self.hint,
+            is_retry: self.repeat,
+            policy: Ruled::default(),
             call_id,
             idempotency_key: self.idempotency_key,
             body,
@@ -146,7 +146,7 @@
             target: self.target,
         };
         if let Some((rules, headers)) = rules {
-            if let Err(status) = classifier.rule(&rules, &mut call, &headers, names, now) {
+            if let Err(status) = classifier.apply_rules(&rules, &mut call, &headers, names, now) {
                 return Asked::Nothing(status);
             }
         }
--- a/crates/yarrowspoke-front/src/net/clients.rs
+++ b/crates/yarrowspoke-front/src/net/clients.rs
@@ -3,11 +3,11 @@
 use super::asked::{Asked, AskedHead};
 use super::http::{Decoder, Encoder, BODY_LIMIT};
 use super::{read_some, within};
+use crate::descriptor_budget::{BodyReservation, CountGuard};
+use crate::event_bus::EventBus;
 use crate::exchange::{Answer, Exchange};
-use crate::hub::Hub;
 use crate::input::Input;
-use crate::keeper::Kept;
-use crate::places::{Counted, Room};
+use crate::ledger_writer::LedgerDecision;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt, FutureExt};
@@ -56,7 +56,7 @@
 /// Where clients come in.
 pub struct Door {
     listener: Async<TcpListener>,
-    hub: Rc<Hub>,
+    hub: Rc<EventBus>,
     executor: Rc<LocalExecutor<'static>>,
     /// Since when connections may have waited to be accepted; `None` once all that waited were.
     paused: Cell<Option<Micros>>,
@@ -64,7 +64,11 @@
 
 impl Door {
     /// Clients come in by `listener`.
-    pub fn new(listener: Async<TcpListener>, hub: Rc<Hub>, executor: Rc<LocalExecutor<'static>>) -> Self {
+    pub fn new(
+        listener: Async<TcpListener>,
+        hub: Rc<EventBus>,
+        executor: Rc<LocalExecutor<'static>>,
+    ) -> Self {
         Self { listener, hub, executor, paused: Cell::default() }
     }
 
@@ -72,9 +76,9 @@
     pub async fn serve(self: Rc<Self>) {
         loop {
             // At the limit accepting pauses until a place is given back; it does not spin.
-            if !self.hub.places.client_fits() {
+            if !self.hub.descriptors.can_accept_client() {
                 self.pause();
-                within(PAUSE_LOOK, self.hub.places.freed()).await;
+                within(PAUSE_LOOK, self.hub.descriptors.wait_for_release()).await;
                 continue;
             }
             let next = match future::poll_once(self.listener.accept()).await {
@@ -97,7 +101,7 @@
     /// Accepts all who wait, as far as there is room; true if anybody did, or may still.
     pub fn let_in(&self) -> bool {
         let mut any = false;
-        while self.hub.places.client_fits() {
+        while self.hub.descriptors.can_accept_client() {
             match self.listener.get_ref().accept().and_then(|(stream, _)| Async::new(stream)) {
                 Ok(stream) => {
                     self.take(stream);
@@ -117,7 +121,7 @@
     }
 
     fn take(&self, stream: Async<TcpStream>) {
-        let place = self.hub.places.client();
+        let place = self.hub.descriptors.take_for_client();
         let waited = self.paused.get().map_or(0, |since| self.hub.clock.now() - since);
         let served = AssertUnwindSafe(converse(stream, Rc::clone(&self.hub), waited));
         let served = async move {
@@ -135,13 +139,13 @@
 /// may hold only so many: once idle ones are all of these, nobody connects any more, so waiting for the next to
 /// connect would be waiting for ever. And a client whose connection yielded connects anew, which asks for the next
 /// to yield: paced, this stays a small part of the connections and cannot feed itself.
-pub async fn make_room(hub: Rc<Hub>) {
+pub async fn make_room(hub: Rc<EventBus>) {
     loop {
-        if hub.places.is_short() {
-            hub.places.ask_to_yield();
+        if hub.descriptors.is_running_low() {
+            hub.descriptors.request_idle_close();
             Timer::after(YIELD_PACE).await;
         } else {
-            hub.places.at_ease();
+            hub.descriptors.clear_close_requests();
             Timer::after(YIELD_LOOK).await;
         }
     }
@@ -191,7 +195,7 @@
     stream: Async<TcpStream>,
     decoder: Decoder<AskedHead>,
     /// Room taken in the store for bodies.
-    room: Option<Room>,
+    room: Option<BodyReservation>,
 }
 
 impl Line {
@@ -236,7 +240,7 @@
 
 /// Serves one connection. `waited` is how long it may have waited to be accepted: its first request aged so long
 /// unread. Danger: counted from its reading alone, such a request is answered after its client has gone.
-async fn converse(stream: Async<TcpStream>, hub: Rc<Hub>, waited: Micros) {
+async fn converse(stream: Async<TcpStream>, hub: Rc<EventBus>, waited: Micros) {
     let _ = stream.get_ref().set_nodelay(true);
     let decoder = Decoder::with(BODY_LIMIT, Rc::clone(&hub.classifier));
     let mut line = Line { stream, decoder, room: None };
@@ -257,24 +261,27 @@
         };
         let written = match asked {
             Asked::Ready => {
-                let ready = hub.ready.get() && !hub.is_stopping() && !hub.keeper.is_down() && hub.takes();
+                let ready = hub.ready.get()
+                    && !hub.is_stopping()
+                    && !hub.ledger_writer.is_down()
+                    && hub.accepts_requests();
                 line.write(&plain(if ready { 200 } else { 503 }, keeps)).await && keeps
             }
             Asked::Nothing(status) => {
-                hub.count_bad();
+                hub.count_malformed();
                 line.write(&plain(status, keeps)).await && keeps
             }
             // Shut out, or without ground to send anything on: answered at once, before anything is taken.
-            Asked::Call(_) if !hub.takes() => {
+            Asked::Call(_) if !hub.accepts_requests() => {
                 line.room = None;
-                let back = hub.member.as_ref().map_or(0, |m| m.come_back());
+                let back = hub.member.as_ref().map_or(0, |m| m.retry_after());
                 line.write(&encode(&Answer::Refused(back), keeps)).await && keeps
             }
             Asked::Call(call) => {
                 // Danger: two answers to one id are taken for each other, and an effect may happen twice.
-                let guarded = hub.keeper.guards(&call);
-                let Some(_open) = hub.ids.open(&call.call_id, guarded) else {
-                    hub.count_bad();
+                let guarded = hub.ledger_writer.requires_record(&call);
+                let Some(_open) = hub.call_ids.open(&call.call_id, guarded) else {
+                    hub.count_malformed();
                     if !line.write(&plain(409, keeps)).await || !keeps {
                         return;
                     }
@@ -282,11 +289,11 @@
                     continue;
                 };
                 let came = hub.clock.now();
-                let kept = if guarded { Some(hub.keeper.begin(&call).await) } else { None };
+                let kept = if guarded { Some(hub.ledger_writer.record_intent(&call).await) } else { None };
                 let answered = match &kept {
-                    Some(Kept::Answered(answer)) => Some(encode(answer, keeps)),
-                    Some(Kept::AlreadyDone | Kept::Open) => Some(plain(409, keeps)),
-                    Some(Kept::Go(_)) | None => None,
+                    Some(LedgerDecision::Answered(answer)) => Some(encode(answer, keeps)),
+                    Some(LedgerDecision::AlreadyDone | LedgerDecision::InProgress) => Some(plain(409, keeps)),
+                    Some(LedgerDecision::Admitted(_)) | None => None,
                 };
                 if let Some(bytes) = answered {
                     line.room = None;
@@ -295,14 +302,14 @@
                     }
                     continue;
                 }
-                let record = if let Some(Kept::Go(id)) = kept { Some(id) } else { None };
+                let record = if let Some(LedgerDecision::Admitted(id)) = kept { Some(id) } else { None };
                 let aged = (if served == 1 { waited } else { 0 }) + (hub.clock.now() - came);
-                let exchange = hub.exchange(*call, aged);
+                let exchange = hub.open_exchange(*call, aged);
                 let _ = hub.inputs.send(Input::Arrived(Rc::clone(&exchange))).await;
                 let wait = answer_or_leave(&mut line, &exchange, &hub).await;
                 if let Some(id) = record {
                     let answer = if let Wait::Answer(answer) = &wait { Some(answer) } else { None };
-                    hub.keeper.end(id, &exchange.call, answer).await;
+                    hub.ledger_writer.record_outcome(id, &exchange.call, answer).await;
                 }
                 let answer = match wait {
                     Wait::Answer(answer) => answer,
@@ -321,8 +328,8 @@
 }
 
 /// Answers what cannot be read with an error, and ends the connection.
-async fn refuse(mut line: Line, hub: &Hub, status: u16) {
-    hub.count_bad();
+async fn refuse(mut line: Line, hub: &EventBus, status: u16) {
+    hub.count_malformed();
     line.room = None;
     if line.write(&plain(status, false)).await {
         line.end_midway().await;
@@ -330,7 +337,7 @@
 }
 
 /// The next whole request. Between requests a stop ends the connection; inside one it is read to its end.
-async fn next(line: &mut Line, hub: &Hub, fresh: bool) -> Next {
+async fn next(line: &mut Line, hub: &EventBus, fresh: bool) -> Next {
     let begun = Instant::now();
     // A new connection owes its request from its beginning, a kept one from the request's first byte.
     let mut due = fresh.then(|| begun + REQUEST_WITHIN);
@@ -346,7 +353,7 @@
         let idle = line.decoder.is_idle();
         let needed = line.decoder.expects();
         if needed > SMALL_BODY && line.room.is_none() {
-            line.room = hub.store.take(needed);
+            line.room = hub.body_memory.reserve(needed);
             if line.room.is_none() {
                 return Next::Bad(503);
             }
@@ -357,7 +364,7 @@
             return Next::End;
         }
         let stopped = async {
-            hub.stopped().await;
+            hub.stop_begun().await;
             if fresh {
                 Timer::after(FIRST_WITHIN).await;
             }
@@ -368,12 +375,12 @@
             // for each request fill all places with connections still to bring one. So only those yield on
             // which nothing has come for a good while of a busy moment.
             Timer::after(if fresh { SILENT_LEAST } else { IDLE_LEAST }).await;
-            hub.places.asked_to_yield(fresh).await;
+            hub.descriptors.idle_close_requested(fresh).await;
             None
         };
         // What has come wins over a stop and over others' needs: a request already there is served.
         let read = if idle {
-            let _counted = Counted::new(&hub.idle[usize::from(!fresh)]);
+            let _counted = CountGuard::new(&hub.idle_clients[usize::from(!fresh)]);
             let since = hub.clock.now();
             let until = due.unwrap_or(begun + IDLE_WITHIN);
             let ends = async {
@@ -383,7 +390,7 @@
             let others = future::or(ends, future::or(stopped, yields));
             let read = future::or(async { Some(line.read().await) }, others).await;
             if fresh {
-                hub.first_bytes.set(hub.first_bytes.get().max(hub.clock.now() - since));
+                hub.max_first_byte_wait.set(hub.max_first_byte_wait.get().max(hub.clock.now() - since));
             }
             read
         } else {
@@ -409,8 +416,8 @@
 }
 
 /// The final answer, unless the client closes its connection or sends something else before.
-async fn answer_or_leave(line: &mut Line, exchange: &Rc<Exchange>, hub: &Hub) -> Wait {
-    let answered = async { Wait::Answer(exchange.answered().await) };
+async fn answer_or_leave(line: &mut Line, exchange: &Rc<Exchange>, hub: &EventBus) -> Wait {
+    let answered = async { Wait::Answer(exchange.wait_for_answer().await) };
     let left = async {
         loop {
             match line.read().await {
@@ -421,8 +428,8 @@
         }
     };
     let ended = future::or(answered, left).await;
-    if !matches!(ended, Wait::Answer(_)) && exchange.leave() {
-        let _ = hub.inputs.send(Input::Left(exchange.id)).await;
+    if !matches!(ended, Wait::Answer(_)) && exchange.abandon() {
+        let _ = hub.inputs.send(Input::ClientLeft(exchange.id)).await;
     }
     ended
 }
--- a/crates/yarrowspoke-front/src/net/list.rs
+++ b/crates/yarrowspoke-front/src/net/list.rs
@@ -2,7 +2,7 @@
 
 use super::http::{Decoder, Encoder, Framing, FromHead, HttpError, RawHead};
 use super::{read_some, within};
-use crate::input::{Input, ListNews, Row, WatchNumber};
+use crate::input::{Input, ListMessage, Row, SubscriptionId};
 use async_channel::Sender;
 use async_io::Async;
 use futures_lite::AsyncWriteExt;
@@ -254,7 +254,7 @@
     hold: Duration,
     index: Cell<u64>,
     /// The watch whose answers count.
-    current: Cell<WatchNumber>,
+    current: Cell<SubscriptionId>,
     /// The version held is not one of discovery's: only the whole list tells what has changed.
     astray: Cell<bool>,
     heard: Cell<Option<Instant>>,
@@ -319,13 +319,13 @@
     }
 
     /// No watch counts that has begun before; the number of one that begins now.
-    pub fn supersede_watches(&self) -> WatchNumber {
+    pub fn supersede_watches(&self) -> SubscriptionId {
         self.current.set(self.current.get() + 1);
         self.current.get()
     }
 
     /// Whether the answers of this watch count.
-    pub fn is_current(&self, watch: WatchNumber) -> bool {
+    pub fn is_current(&self, watch: SubscriptionId) -> bool {
         self.current.get() == watch
     }
 
@@ -337,17 +337,17 @@
         let news = match answer {
             Ok(list) => {
                 let Listing { index, rows, .. } = list;
-                ListNews { watch, kind: ListKind::Full, index, is_astray: false, rows }
+                ListMessage { watch, kind: ListKind::Full, index, needs_snapshot: false, rows }
             }
             Err(e) => self.failed(watch, &e),
         };
-        let _ = to.send(Input::List(news)).await;
+        let _ = to.send(Input::ListUpdated(news)).await;
     }
 
     /// Watches the list until a call fails: the first call answers at once, further ones wait for news. One that
     /// falls silent is opened anew at once, and fails only if that does. One that another has taken the place of hands over
     /// the answer that it waits for, and ends.
-    pub async fn watch(self: Rc<Self>, watch: WatchNumber, to: Sender<Input>) {
+    pub async fn watch(self: Rc<Self>, watch: SubscriptionId, to: Sender<Input>) {
         let (mut line, mut opens) = (None, true);
         let (mut from, mut whole) = (self.index.get(), self.astray.get());
         loop {
@@ -380,7 +380,7 @@
                     if matches!(e, ListError::Status(_)) && !opens && !whole && self.went_on.get() {
                         let _ = to.send(Input::ListConfirmed(watch, from)).await;
                     }
-                    let _ = to.send(Input::List(self.failed(watch, &e))).await;
+                    let _ = to.send(Input::ListUpdated(self.failed(watch, &e))).await;
                     return;
                 }
             };
@@ -391,7 +391,13 @@
             let input = match opens || list.whole || went_back || !list.rows.is_empty() {
                 true => {
                     let kind = if list.whole { ListKind::Full } else { ListKind::Delta };
-                    Input::List(ListNews { watch, kind, index, is_astray: went_back, rows: list.rows })
+                    Input::ListUpdated(ListMessage {
+                        watch,
+                        kind,
+                        index,
+                        needs_snapshot: went_back,
+                        rows: list.rows,
+                    })
                 }
                 false => Input::ListConfirmed(watch, index),
             };
@@ -407,9 +413,9 @@
 
     /// The front holds this version from now on. Danger: taken on before its lines are, a version whose watch is ended in
     /// between is never asked for again, and its changes are lost.
-    pub fn hold(&self, index: u64, is_astray: bool) {
+    pub fn hold(&self, index: u64, needs_snapshot: bool) {
         self.index.set(index);
-        self.astray.set(is_astray);
+        self.astray.set(needs_snapshot);
     }
 
     /// Counts a call and writes down how it ended, and at which version it left this front.
@@ -435,7 +441,7 @@
     /// version held.
     async fn call(
         &self,
-        watch: WatchNumber,
+        watch: SubscriptionId,
         line: &mut Option<Async<TcpStream>>,
         target: &str,
         limit: Duration,
@@ -462,15 +468,15 @@
     }
 
     /// What the module is told of a call that failed.
-    fn failed(&self, watch: WatchNumber, why: &ListError) -> ListNews {
+    fn failed(&self, watch: SubscriptionId, why: &ListError) -> ListMessage {
         let garbled = why.is_spoilt() || self.spoilt.get();
         let kind = if garbled { ListKind::Garbled } else { ListKind::Failed };
-        ListNews { watch, kind, index: 0, is_astray: false, rows: Vec::new() }
+        ListMessage { watch, kind, index: 0, needs_snapshot: false, rows: Vec::new() }
     }
 
     async fn call_once(
         &self,
-        watch: WatchNumber,
+        watch: SubscriptionId,
         line: &mut Option<Async<TcpStream>>,
         target: &str,
         limit: Duration,
--- a/crates/yarrowspoke-front/src/net/machines.rs
+++ b/crates/yarrowspoke-front/src/net/machines.rs
@@ -4,9 +4,9 @@
 
 use super::http::{Decoder, Encoder, Framing, FromHead, HttpError, RawHead, BODY_LIMIT};
 use super::{read_some, span, within};
+use crate::descriptor_budget::{Descriptor, DescriptorBudget};
 use crate::exchange::Exchange;
 use crate::input::{Clock, Reply, Row};
-use crate::places::{Place, Places};
 use async_io::Async;
 use futures_lite::AsyncWriteExt;
 use std::cell::{Cell, RefCell};
@@ -166,7 +166,7 @@
 
 struct Line {
     stream: Async<TcpStream>,
-    _place: Place,
+    _place: Descriptor,
 }
 
 /// A machine's whole answer, and whether the connection may carry another.
@@ -233,7 +233,7 @@
 /// All machines listed, with the connections kept to them.
 pub struct Machines {
     hosts: RefCell<BTreeMap<MachineId, Host>>,
-    places: Rc<Places>,
+    places: Rc<DescriptorBudget>,
     transport: Transport,
     /// What broke attempts since this was last told.
     broke: RefCell<BTreeMap<&'static str, usize>>,
@@ -241,7 +241,7 @@
 
 impl Machines {
     /// No machine yet.
-    pub fn new(places: Rc<Places>, transport: Transport) -> Rc<Self> {
+    pub fn new(places: Rc<DescriptorBudget>, transport: Transport) -> Rc<Self> {
         Rc::new(Self { hosts: RefCell::default(), places, transport, broke: RefCell::default() })
     }
 
@@ -320,15 +320,15 @@
     }
 
     /// A place for a new connection; at the limit the connection that was idle longest makes room.
-    fn place(&self) -> Result<Place, Cause> {
-        if let Some(place) = self.places.machine() {
+    fn place(&self) -> Result<Descriptor, Cause> {
+        if let Some(place) = self.places.take_for_machine() {
             return Ok(place);
         }
         let mut hosts = self.hosts.borrow_mut();
         let oldest = hosts.values_mut().filter(|h| !h.idle.is_empty());
         let oldest = oldest.min_by_key(|h| h.idle.front().map(|i| i.since));
         drop(oldest.and_then(|h| h.idle.pop_front()));
-        self.places.machine().ok_or(Cause::NoRoom)
+        self.places.take_for_machine().ok_or(Cause::NoRoom)
     }
 
     async fn connect(&self, address: SocketAddr) -> Result<Line, Cause> {
@@ -409,7 +409,7 @@
         if reusable {
             self.keep(machine, tenancy, line, clock.now());
         }
-        Ok(Reply { ending: head.ending(), load: head.load, body })
+        Ok(Reply { outcome: head.ending(), load_report: head.load, body })
     }
 
     /// Writes the request to a connection, kept or new.
--- a/crates/yarrowspoke-front/src/net/peers.rs
+++ b/crates/yarrowspoke-front/src/net/peers.rs
@@ -57,7 +57,7 @@
                 Ok((n, from)) if n <= DATAGRAM_LIMIT => {
                     let known = self.each.borrow().iter().position(|p| *p == from);
                     if let Some(peer) = known {
-                        let _ = to.send(Input::Message(peer as u32, bytes[..n].to_vec())).await;
+                        let _ = to.send(Input::PeerMessage(peer as u32, bytes[..n].to_vec())).await;
                     }
                 }
                 Ok(_) => log::debug!("peer message too long"),
--- a/crates/yarrowspoke-front/src/net/platform.rs
+++ b/crates/yarrowspoke-front/src/net/platform.rs
@@ -232,7 +232,7 @@
     let answer = within(span(limit), cast(address, ballot, &written)).await;
     let ending = match answer {
         Some(Ok(Line::Done(Some(state)))) => {
-            let _ = to.send(Input::News(state.news(true))).await;
+            let _ = to.send(Input::RolloutStatus(state.news(true))).await;
             return;
         }
         Some(Ok(Line::Refused(why))) => match why {
@@ -248,7 +248,7 @@
     let phase = Phase::Trial;
     let Ballot { build, stage, .. } = ballot;
     let news = News { build, stage, phase, answer: true, ending, cap: 0.0, age: 0 };
-    let _ = to.send(Input::News(news)).await;
+    let _ = to.send(Input::RolloutStatus(news)).await;
 }
 
 async fn cast(address: SocketAddr, ballot: Ballot, written: &std::cell::Cell<bool>) -> std::io::Result<Line> {
@@ -302,7 +302,7 @@
             match decode(&line).map_err(std::io::Error::other)? {
                 Line::Progress(state) => {
                     *told = true;
-                    let _ = to.send(Input::News(state.news(false))).await;
+                    let _ = to.send(Input::RolloutStatus(state.news(false))).await;
                 }
                 Line::Refused(why) => log::warn!("platform: refused: {why:?}"),
                 Line::Alive | Line::Other | Line::Done(_) => {}
--- a/crates/yarrowspoke-front/src/planner.rs
+++ b/crates/yarrowspoke-front/src/planner.rs
@@ -1,6 +1,6 @@
 //! A planner as a program: links, store and commands round `yarrowspoke_fleet::planner`.
 
-use crate::agree::{Agree, Apart, Batch};
+use crate::agreed_log::{AgreedLog, JoinError, MessageBatch};
 use crate::net::fleet::{exchange, serve, Answering, LinkAnswer, LinkHead};
 use crate::net::within;
 use async_executor::LocalExecutor;
@@ -45,7 +45,7 @@
 type Write = (Vec<(Key, Report)>, Vec<Key>);
 
 /// Reads what a directory keeps; what could not be read, beside it.
-pub fn read_book(dir: &Path) -> Result<(Book, Vec<String>), String> {
+pub fn read_report_log(dir: &Path) -> Result<(Book, Vec<String>), String> {
     let read = Reports::open(dir).and_then(|r| r.read::<Report>()).map_err(|e| e.to_string())?;
     let (mut book, mut spoilt) = (Book::default(), read.spoilt);
     for ((front, incarnation, ..), report) in read.reports {
@@ -59,7 +59,7 @@
 struct Running {
     planner: RefCell<Planner>,
     /// `None` for one that takes no part: it may have forgotten what it promised.
-    agree: RefCell<Option<Agree>>,
+    agree: RefCell<Option<AgreedLog>>,
     /// What was proposed lately, so that it is not proposed at every look.
     proposed: RefCell<BTreeMap<String, Instant>>,
     begun: Instant,
@@ -95,10 +95,10 @@
                 Ok(asked) => json(&audit(&self.planner.borrow().book, &asked)),
                 Err(why) => LinkAnswer::refused(400, why),
             },
-            ("POST", "/fleet/agree") => match decode::<Batch>(body) {
+            ("POST", "/fleet/agree") => match decode::<MessageBatch>(body) {
                 Ok(batch) => {
                     if let Some(agree) = self.agree.borrow_mut().as_mut() {
-                        agree.incoming(batch);
+                        agree.receive(batch);
                     }
                     LinkAnswer::ok(Vec::new())
                 }
@@ -283,7 +283,7 @@
             return Err(format!("{}: no such directory; it is not made by itself", dir.display()));
         }
         let spoilt;
-        (book, spoilt) = read_book(&dir)?;
+        (book, spoilt) = read_report_log(&dir)?;
         spoilt.iter().for_each(|s| log::error!("fleet: kept and not readable: {s}"));
         let reports = Reports::open(&dir).map_err(|e| e.to_string())?;
         let (to, from) = mpsc::sync_channel::<Write>(64);
@@ -317,7 +317,7 @@
     fleet: Fleet,
     (name, incarnation): (&str, u64),
     address: SocketAddr,
-    (book, agree): (Book, Option<Agree>),
+    (book, agree): (Book, Option<AgreedLog>),
     writes: Option<mpsc::SyncSender<Write>>,
     executor: Rc<LocalExecutor<'static>>,
 ) -> std::io::Result<()> {
@@ -393,7 +393,7 @@
 async fn agree_with(running: Rc<Running>, other: String, address: SocketAddr) {
     let mut line = None;
     loop {
-        let batch = running.agree.borrow_mut().as_mut().and_then(|a| a.batch(&other));
+        let batch = running.agree.borrow_mut().as_mut().and_then(|a| a.next_batch(&other));
         let Some(batch) = batch else {
             Timer::after(AGREE_EVERY / 4).await;
             continue;
@@ -405,7 +405,7 @@
             line = None;
         }
         if let Some(agree) = running.agree.borrow_mut().as_mut() {
-            agree.went(&other, matches!(went, Some(Ok(_))));
+            agree.batch_sent(&other, matches!(went, Some(Ok(_))));
         }
     }
 }
@@ -416,14 +416,14 @@
     incarnation: u64,
     dir: Option<&Path>,
     found: bool,
-) -> Result<Option<Agree>, String> {
+) -> Result<Option<AgreedLog>, String> {
     let names: Vec<String> = fleet.planners().map(|p| p.name.clone()).collect();
     // One planner alone has nobody to agree with; its own word would be gone with it.
     let Some(dir) = dir.filter(|_| names.len() > 1) else { return Ok(None) };
-    match Agree::open(names, name, incarnation, Some(dir), found) {
+    match AgreedLog::open(names, name, incarnation, Some(dir), found) {
         Ok(agree) => Ok(Some(agree)),
-        Err(Apart::Io(e)) => Err(format!("{}: {e}", dir.display())),
-        Err(Apart::Forgot) => {
+        Err(JoinError::Io(e)) => Err(format!("{}: {e}", dir.display())),
+        Err(JoinError::LostState) => {
             log::warn!("fleet: {APART}");
             Ok(None)
         }
--- a/crates/yarrowspoke-front/src/run.rs
+++ b/crates/yarrowspoke-front/src/run.rs
@@ -2,16 +2,16 @@
 
 use crate::classify::{self, Classifier};
 use crate::config::{self, Config, ConfigError};
+use crate::descriptor_budget::DescriptorBudget;
 use crate::driver::{Driver, Outside};
-use crate::hub::Hub;
+use crate::event_bus::EventBus;
+use crate::fleet_member::{self, Member};
 use crate::input::{Input, Row};
-use crate::keeper::{self, Keeper};
-use crate::member::{self, Member};
+use crate::ledger_writer::{self, LedgerWriter};
 use crate::net::clients::{self, Door};
 use crate::net::list::Discovery;
 use crate::net::machines::Machines;
 use crate::net::peers::Peers;
-use crate::places::Places;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
@@ -95,7 +95,7 @@
                 check_member(fleet, &config.name, path)?;
             }
             if let Some(rules) = &mut rules {
-                let world = classify::world(running.unwrap_or(&config.settings));
+                let world = classify::rule_context(running.unwrap_or(&config.settings));
                 let path = path.display().to_string();
                 rules.bind(&world).map_err(|faults| OperatorError::Faults { path, faults })?;
             }
@@ -118,7 +118,7 @@
 }
 
 /// Opens the store, starts its writer, and reads what the front knew as far as that is trusted.
-fn open_store(settings: StoreSettings, config: &Config) -> io::Result<(Keeper, Option<Vec<Row>>)> {
+fn open_store(settings: StoreSettings, config: &Config) -> io::Result<(LedgerWriter, Option<Vec<Row>>)> {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
     let dir = Dir::open(&settings.directory)?;
     let fresh = u128::from(config.seed) << 64 | u128::from(now);
@@ -128,19 +128,19 @@
     let bounds = Bounds { fresh: settings.fresh, stale: settings.stale, ahead: CLOCKS_APART };
     let rows = match store.known().map_err(io::Error::other)? {
         None => None,
-        Some(known) => match trust(&known, now, &keeper::deployment(names), 0, &bounds) {
+        Some(known) => match trust(&known, now, &ledger_writer::deployment_key(names), 0, &bounds) {
             Trust::None(why) => {
                 log::warn!("store: the list kept is not used: {why}");
                 None
             }
             trusted => {
                 log::info!("store: a list of {} machines is kept: {trusted:?}", known.lines.len());
-                Some(keeper::rows(&known, names))
+                Some(ledger_writer::snapshot_rows(&known, names))
             }
         },
     };
     let (hand, _) = writer::start(store, dir, Duration::from_micros(settings.delay))?;
-    Ok((Keeper::new(hand, settings, &config.settings), rows))
+    Ok((LedgerWriter::new(hand, settings, &config.settings), rows))
 }
 
 /// What a front is told by signals: those that come before it serves wait until it does.
@@ -172,25 +172,25 @@
     let Setup { config, rules, store, fleet } = setup;
     let Told { stop: mut signals, reload: reloads } = told;
     let listener = Async::<TcpListener>::bind(config.listen)?;
-    let places = Places::new(config.limits.sockets.saturating_sub(RESERVED));
+    let places = DescriptorBudget::new(config.limits.sockets.saturating_sub(RESERVED));
     let classifier = Classifier::new(config.seed);
     classifier.load(rules);
     let (keeper, kept) = match store {
         Some(settings) => open_store(settings, &config)?,
-        None => (Keeper::default(), None),
+        None => (LedgerWriter::default(), None),
     };
-    let bodies = config.limits.bodies();
+    let bodies = config.limits.body_memory();
     let discovery = {
         let (names, within) = (config.settings.names.clone(), config.settings.module.ask_within);
-        Discovery::new(config.discovery, names, config.known.index, within)
+        Discovery::new(config.discovery, names, config.initial_list.index, within)
     };
     let member = fleet.map(|fleet| {
         let bounds = &config.settings.module;
         let back = if bounds.retry_after { bounds.max_retry_after } else { 0 };
-        let digests = member::digests(&files.config, files.operator.as_deref());
+        let digests = fleet_member::digests(&files.config, files.operator.as_deref());
         Member::new(fleet, &config.name, digests, Rc::clone(&discovery), back)
     });
-    let (hub, inputs) = Hub::new(
+    let (hub, inputs) = EventBus::new(
         &config.settings,
         Rc::clone(&places),
         bodies,
@@ -212,21 +212,21 @@
     };
     let about = format!("settings: {:?} {:?}", config.settings.module, config.settings.transport);
     let running = config.settings.clone();
-    let news = config.news.map(|s| s.news(false));
+    let news = config.rollout_status.map(|s| s.news(false));
     // The configuration's list is the platform's word; without one, what this front knew itself is better than nothing.
     let rows = match kept {
-        Some(rows) if config.known.rows.is_empty() => (0, rows),
-        _ => (config.known.index, config.known.rows),
+        Some(rows) if config.initial_list.rows.is_empty() => (0, rows),
+        _ => (config.initial_list.index, config.initial_list.rows),
     };
     let mut driver = Driver::start(config.seed, config.settings, rows, news, Rc::clone(&hub), outside);
-    if let Some(watch) = config.watch {
+    if let Some(watch) = config.shadow_settings {
         driver.watch_for(watch.module);
     }
     if let Some(peers) = peers {
         executor.spawn(peers.listen(hub.inputs.clone())).detach();
     }
     if let Some(member) = &member {
-        member::start(member, &executor, &hub.inputs);
+        fleet_member::start(member, &executor, &hub.inputs);
     }
     executor.spawn(reload(reloads, files, running, Rc::clone(&hub))).detach();
     executor.spawn(clients::make_room(Rc::clone(&hub))).detach();
@@ -236,11 +236,11 @@
     log::info!("{} serves on {}", config.name, config.listen);
     let stop = async {
         signals.next().await;
-        log::info!("stopping: {} client connections", places.held().0);
+        log::info!("stopping: {} client connections", places.in_use().0);
         hub.begin_stop();
         Timer::after(STILL_COMING).await;
         // Danger: who waits to be accepted may have sent a request already, and is reset when the program ends.
-        while door.let_in() || places.held().0 > 0 {
+        while door.let_in() || places.in_use().0 > 0 {
             Timer::after(STOP_CHECK).await;
         }
         log::info!("stopped");
@@ -252,18 +252,18 @@
 /// Reads the configuration again whenever told to. Danger: a signal that nobody handles ends the program, and a
 /// file caught half written must not take addresses away that still serve. So it is read as one whole or not
 /// at all; requests, the module's state and kept connections stay.
-async fn reload(mut told: Signals, files: Files, running: Settings, hub: Rc<Hub>) {
+async fn reload(mut told: Signals, files: Files, running: Settings, hub: Rc<EventBus>) {
     while told.next().await.is_some() {
         match files.read(Some(&running)) {
             Ok(Setup { config, rules, fleet, .. }) => {
                 if let Some(member) = &hub.member {
-                    member.reread(member::digests(&files.config, files.operator.as_deref()), fleet);
+                    member.reload(fleet_member::digests(&files.config, files.operator.as_deref()), fleet);
                 }
                 hub.classifier.load(rules);
                 let (addresses, rates) = (config.addresses(), config.settings.module.verdicts);
                 log::info!("files read again: {addresses:?} {rates:?}");
-                let _ = hub.inputs.send(Input::Rates(rates)).await;
-                let _ = hub.inputs.send(Input::Moved(addresses)).await;
+                let _ = hub.inputs.send(Input::ErrorRatesChanged(rates)).await;
+                let _ = hub.inputs.send(Input::AddressesChanged(addresses)).await;
             }
             Err(e) => log::error!("the old configuration stays: {e}"),
         }
--- a/crates/yarrowspoke-front/src/watch.rs
+++ b/crates/yarrowspoke-front/src/shadow_settings.rs
@@ -12,11 +12,11 @@
 
 /// A kind of decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum DecisionKind {
     /// A request is sent, or sent somewhere else.
     Send,
     /// A request is refused or failed.
-    GiveUp,
+    RefuseOrFail,
     /// A machine is asked first.
     Probe,
     /// An attempt is given up.
@@ -32,49 +32,57 @@
 }
 
 /// The kind that `action` belongs to; timers and lines for the operators decide nothing.
-fn kind(action: &Action) -> Option<Kind> {
+fn kind(action: &Action) -> Option<DecisionKind> {
     match action {
-        Action::Send { .. } => Some(Kind::Send),
-        Action::Refuse { .. } | Action::Fail { .. } => Some(Kind::GiveUp),
-        Action::Probe { .. } => Some(Kind::Probe),
-        Action::Cancel { .. } => Some(Kind::Cancel),
-        Action::Vote { .. } => Some(Kind::Vote),
-        Action::Watch(_) | Action::Fetch => Some(Kind::List),
-        Action::Close { .. } | Action::Tell { .. } => Some(Kind::Other),
+        Action::Send { .. } => Some(DecisionKind::Send),
+        Action::Refuse { .. } | Action::Fail { .. } => Some(DecisionKind::RefuseOrFail),
+        Action::Probe { .. } => Some(DecisionKind::Probe),
+        Action::Cancel { .. } => Some(DecisionKind::Cancel),
+        Action::Vote { .. } => Some(DecisionKind::Vote),
+        Action::Watch(_) | Action::Fetch => Some(DecisionKind::List),
+        Action::Close { .. } | Action::Tell { .. } => Some(DecisionKind::Other),
         Action::Timer { .. } | Action::Log(_) => None,
     }
 }
 
 /// The kinds in which two answers to one event differ.
-pub fn differences(one: &[Action], other: &[Action]) -> Vec<Kind> {
-    let same = |k: &Kind| {
+pub fn differences(one: &[Action], other: &[Action]) -> Vec<DecisionKind> {
+    let same = |k: &DecisionKind| {
         let of = |a: &&Action| kind(a) == Some(*k);
         one.iter().filter(of).eq(other.iter().filter(of))
     };
-    let kinds = [Kind::Send, Kind::GiveUp, Kind::Probe, Kind::Cancel, Kind::Vote, Kind::List, Kind::Other];
+    let kinds = [
+        DecisionKind::Send,
+        DecisionKind::RefuseOrFail,
+        DecisionKind::Probe,
+        DecisionKind::Cancel,
+        DecisionKind::Vote,
+        DecisionKind::List,
+        DecisionKind::Other,
+    ];
     kinds.into_iter().filter(|k| !same(k)).collect()
 }
 
 /// Settings that are watched, and what they would have changed.
-pub struct Watch {
+pub struct ShadowSettings {
     settings: Settings,
     events: u64,
-    counts: BTreeMap<Kind, u64>,
+    counts: BTreeMap<DecisionKind, u64>,
 }
 
-impl Watch {
+impl ShadowSettings {
     /// Watches these settings.
     pub fn new(settings: Settings) -> Self {
         Self { settings, events: 0, counts: BTreeMap::new() }
     }
 
     /// Rates of judging hold for both.
-    pub fn state_rates(&mut self, rates: Option<Verdicts>) {
+    pub fn set_error_rates(&mut self, rates: Option<Verdicts>) {
         self.settings.verdicts = rates;
     }
 
     /// Puts `event` to the module as it stood `before` it, and counts where that differs from what was `done`.
-    pub fn look(&mut self, mut before: Front, now: Micros, event: &Event, done: &[Action]) {
+    pub fn compare(&mut self, mut before: Front, now: Micros, event: &Event, done: &[Action]) {
         self.events += 1;
         let settings = self.settings.clone();
         let mut actions = Vec::new();
@@ -83,12 +91,12 @@
             before.restate(settings);
             before.handle(now, event, &mut actions);
         }));
-        let kinds = if tried.is_ok() { differences(done, &actions) } else { vec![Kind::Defect] };
+        let kinds = if tried.is_ok() { differences(done, &actions) } else { vec![DecisionKind::Defect] };
         kinds.into_iter().for_each(|k| *self.counts.entry(k).or_default() += 1);
     }
 
     /// Events looked at, and how many of them differ, by kind.
-    pub fn counts(&self) -> (u64, &BTreeMap<Kind, u64>) {
+    pub fn counts(&self) -> (u64, &BTreeMap<DecisionKind, u64>) {
         (self.events, &self.counts)
     }
 }
--- a/crates/yarrowspoke-front/src/stores.rs
+++ b/crates/yarrowspoke-front/src/store_commands.rs
@@ -1,6 +1,6 @@
 //! `yarrowspoke store`: what is in a store's directory, while no front has it open.
 
-use crate::cli::Told;
+use crate::cli::CommandOutput;
 use std::fmt::Write;
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -11,10 +11,10 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64)
 }
 
-fn told(done: Result<String, String>) -> Told {
+fn told(done: Result<String, String>) -> CommandOutput {
     match done {
-        Ok(text) => Told { text, right: true },
-        Err(text) => Told { text: format!("{text}\n"), right: false },
+        Ok(text) => CommandOutput { text, success: true },
+        Err(text) => CommandOutput { text: format!("{text}\n"), success: false },
     }
 }
 
@@ -26,7 +26,7 @@
 }
 
 /// Reads everything and changes nothing; why it would be refused, if it would.
-pub fn verify(dir: &Path) -> Told {
+pub fn verify(dir: &Path) -> CommandOutput {
     let verified = || {
         let disk = Dir::open(dir).map_err(|e| e.to_string())?;
         let report = Store::verify(&disk).map_err(|e| e.to_string())?;
@@ -36,7 +36,7 @@
 }
 
 /// The same, with what the front knew and the requests whose end is not known.
-pub fn inspect(dir: &Path) -> Told {
+pub fn inspect(dir: &Path) -> CommandOutput {
     let inspected = || {
         let disk = Dir::open(dir).map_err(|e| e.to_string())?;
         let (report, known, doubts) = Store::inspect(&disk).map_err(|e| e.to_string())?;
@@ -65,7 +65,7 @@
 }
 
 /// Gives back what the file holds of forgotten records.
-pub fn compact(dir: &Path) -> Told {
+pub fn compact(dir: &Path) -> CommandOutput {
     let compacted = || {
         let disk = Dir::open(dir).map_err(|e| e.to_string())?;
         Store::verify(&disk).map_err(|e| e.to_string())?;
--- a/crates/yarrowspoke-front/tests/acceptance.rs
+++ b/crates/yarrowspoke-front/tests/acceptance.rs
@@ -4,7 +4,7 @@
 mod common;
 mod scripted;
 
-use common::{fresh, get, post, until};
+use common::{get, post, unique_id, wait_until};
 use scripted::stage::{up, Stage, EMPTY};
 use scripted::{entry, listing, ok, LatePeer, Peer, Program, Wire, PATIENCE};
 use std::net::SocketAddr;
@@ -36,12 +36,12 @@
     let stage = patient(Stage::set(EMPTY)).told(r#""Effect": "once""#, keyed);
     let (program, mut watch) = stage.watched(&[&first]);
     let mut client = program.client();
-    let line = out_then_moved(&mut watch, &first, late.address, &mut client, &post(&fresh(), "9.0"));
+    let line = out_then_moved(&mut watch, &first, late.address, &mut client, &post(&unique_id(), "9.0"));
     // It may have run. The next attempt is allowed and begins at once; its connection comes up a second later.
     line.ends_now();
-    until("the next attempt connects", || late.is_tried());
+    wait_until("the next attempt connects", || late.is_tried());
     let late = late.open();
-    until("it is given up, or written", || {
+    wait_until("it is given up, or written", || {
         if let Some(mut line) = late.connection_within(Duration::ZERO) {
             assert!(line.message().is_none(), "written though its key is forgotten");
         }
@@ -59,9 +59,9 @@
     let stage = patient(Stage::set(EMPTY)).told(r#""Effect": "once""#, keyed);
     let (program, mut watch) = stage.watched(&[&first]);
     let mut client = program.client();
-    let line = out_then_moved(&mut watch, &first, late.address, &mut client, &post(&fresh(), "9.0"));
+    let line = out_then_moved(&mut watch, &first, late.address, &mut client, &post(&unique_id(), "9.0"));
     line.ends_now();
-    until("the next attempt connects", || late.is_tried());
+    wait_until("the next attempt connects", || late.is_tried());
     let mut line = late.open().connection();
     assert!(line.message().is_some());
     line.answer("again");
@@ -74,9 +74,9 @@
     let stage = patient(Stage::set(EMPTY));
     let (program, mut watch) = stage.watched(&[&first]);
     let mut client = program.client();
-    let line = out_then_moved(&mut watch, &first, late.address, &mut client, &get(&fresh(), "9.0"));
+    let line = out_then_moved(&mut watch, &first, late.address, &mut client, &get(&unique_id(), "9.0"));
     line.ends_now();
-    until("the next attempt connects", || late.is_tried());
+    wait_until("the next attempt connects", || late.is_tried());
     let mut line = late.open().connection();
     let told: f64 = line.message().unwrap().field("x-budget").unwrap().parse().unwrap();
     let took = |line: String| -> f64 {
@@ -100,13 +100,13 @@
     let program = stage.start();
     let mut watch = stage.open_watch(&listing(7, true, &[entry("s-0", late.address, "up", 41, 0)]));
     assert!(watch.message().unwrap().start().contains("from=7"));
-    for call in [get(&fresh(), "60.0"), post(&fresh(), "60.0")] {
+    for call in [get(&unique_id(), "60.0"), post(&unique_id(), "60.0")] {
         let mut client = program.client();
         client.write(&call);
-        until("its attempt connects", || late.is_tried());
+        wait_until("its attempt connects", || late.is_tried());
         client.ends_now();
         program.logs("ending=Cancelled");
-        until("nothing connects any more", || !late.is_tried());
+        wait_until("nothing connects any more", || !late.is_tried());
     }
     assert!(late.open().connection_within(Duration::ZERO).is_none());
 }
@@ -121,7 +121,7 @@
     let program = stage.start();
     let mut watch = stage.open_watch(&listing(7, true, &[entry("s-0", machine.address, "draining", 41, 0)]));
     assert!(watch.message().unwrap().start().contains("from=7"));
-    let ids: Vec<_> = (0..10).map(|_| fresh()).collect();
+    let ids: Vec<_> = (0..10).map(|_| unique_id()).collect();
     let mut gone: Vec<_> = ids.iter().map(|_| program.client()).collect();
     gone.iter_mut().zip(&ids).for_each(|(client, id)| client.write(&post(id, "9.0")));
     let (left, mut stays) = (gone.len(), program.client());
@@ -155,7 +155,7 @@
         let program = stage.start();
         let mut watch = stage.open_watch(list);
         assert!(watch.message().unwrap().start().contains("from=7"));
-        for call in [get(&fresh(), budget), post(&fresh(), budget)] {
+        for call in [get(&unique_id(), budget), post(&unique_id(), budget)] {
             let mut client = program.client();
             client.write(&call);
             let answer = client.message().unwrap();
@@ -184,7 +184,7 @@
         "",
     ] {
         let mut client = program.client();
-        client.write(&post(&fresh(), "9.0"));
+        client.write(&post(&unique_id(), "9.0"));
         let mut line = machine.connection();
         assert!(line.message().is_some());
         line.write(cut);
@@ -193,7 +193,7 @@
         assert!(answer.start().contains(" 502 "), "{cut:?}: {answer:?}");
         assert_eq!(answer.field("content-length"), Some(answer.body.len().to_string().as_str()));
         // One that may be repeated is asked for again, and served whole.
-        client.write(&get(&fresh(), "9.0"));
+        client.write(&get(&unique_id(), "9.0"));
         let mut line = machine.connection();
         assert!(line.message().is_some());
         line.write(cut);
@@ -226,10 +226,10 @@
         let mut call = stage.discovery.connection();
         assert!(call.message().is_some());
         call.write(full);
-        until("it serves", || program.is_up());
+        wait_until("it serves", || program.is_up());
         assert!(call.ends());
         let mut client = program.client();
-        client.write(&get(&fresh(), "9.0"));
+        client.write(&get(&unique_id(), "9.0"));
         let mut line = machine.connection();
         assert!(line.message().is_some());
         line.answer("x");
@@ -278,10 +278,10 @@
                 }
             }
         };
-        until("it serves", || program.is_up());
+        wait_until("it serves", || program.is_up());
         assert!(!watch.has_ended() && !watch.has_news());
         let mut client = program.client();
-        client.write(&get(&fresh(), "9.0"));
+        client.write(&get(&unique_id(), "9.0"));
         let mut line = machine.connection();
         assert!(line.message().is_some());
         line.answer("x");
@@ -303,6 +303,6 @@
     let mut watch = stage.open_watch(&list);
     assert!(watch.message().unwrap().start().contains("from=7"));
     let mut client = program.client();
-    client.write(&get(&fresh(), "9.0"));
+    client.write(&get(&unique_id(), "9.0"));
     assert!(machine.connection().message().is_some());
 }
--- a/crates/yarrowspoke-front/tests/common/mod.rs
+++ b/crates/yarrowspoke-front/tests/common/mod.rs
@@ -29,7 +29,7 @@
 }
 
 /// Waits until `done`.
-pub fn until(what: &str, mut done: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
     let begun = Instant::now();
     while !done() {
         assert!(begun.elapsed() < PATIENCE, "waited in vain until {what}");
@@ -38,7 +38,7 @@
 }
 
 /// A front with its surroundings.
-pub struct World {
+pub struct TestEnvironment {
     pub listen: SocketAddr,
     pub discovery: Discovery,
     pub platform: Platform,
@@ -49,7 +49,7 @@
     operator: Option<PathBuf>,
 }
 
-impl World {
+impl TestEnvironment {
     /// A front among as many machines as there are behaviours, all on build 41, released.
     pub fn start(behaviours: &[Behaviour]) -> Self {
         Self::with_sockets(behaviours, 1024)
@@ -66,7 +66,7 @@
     }
 
     /// A front whose configuration has `from` replaced.
-    pub fn told(behaviours: &[Behaviour], from: &str, to: &str) -> Self {
+    pub fn with_config_change(behaviours: &[Behaviour], from: &str, to: &str) -> Self {
         Self::made(behaviours, 1024, None, |config| {
             assert!(config.contains(from));
             config.replace(from, to)
@@ -97,7 +97,7 @@
             .replace(r#""sockets": 1024"#, &format!(r#""sockets": {sockets}"#))
             .replace(r#"{"index": 0, "snapshot": true, "endpoints": []}"#, &discovery.snapshot());
         let config = change(config);
-        let operator = operator.map(|text| file("operator", text));
+        let operator = operator.map(|text| temp_file("operator", text));
         let (front, path) = spawn_at(&config, operator.as_deref());
         let world = Self { listen, discovery, platform, machines, front, config, path, operator };
         world.wait_ready();
@@ -124,9 +124,11 @@
     }
 
     fn wait_ready(&self) {
-        until("the front is ready", || {
+        wait_until("the front is ready", || {
             let Ok(stream) = TcpStream::connect(self.listen) else { return false };
-            Client::over(stream).ask("GET /up HTTP/1.1\r\n\r\n").is_some_and(|a| a.start().contains(" 200 "))
+            Client::over(stream)
+                .request("GET /up HTTP/1.1\r\n\r\n")
+                .is_some_and(|a| a.start().contains(" 200 "))
         });
     }
 
@@ -148,7 +150,7 @@
     /// Replaces the operator's file, in one step, and sends SIGHUP to the front.
     pub fn reload_rules(&self, text: &str) {
         let path = self.operator.as_ref().unwrap();
-        std::fs::rename(file("next", text), path).unwrap();
+        std::fs::rename(temp_file("next", text), path).unwrap();
         self.hang_up();
     }
 
@@ -170,7 +172,7 @@
     }
 }
 
-impl Drop for World {
+impl Drop for TestEnvironment {
     fn drop(&mut self) {
         let _ = self.front.kill();
         let _ = self.front.wait();
@@ -188,7 +190,7 @@
 }
 
 /// Writes a file of this name's kind, and no other test's.
-pub fn file(name: &str, text: &str) -> PathBuf {
+pub fn temp_file(name: &str, text: &str) -> PathBuf {
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("yarrowspoke-test-{}-{number}-{name}", std::process::id()));
     std::fs::write(&path, text).unwrap();
@@ -196,13 +198,13 @@
 }
 
 /// Runs the program to its end, by the example's configuration.
-pub fn program(args: &[&str]) -> Output {
+pub fn run_program(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_yarrowspoke"));
     command.args(args).env("PROXY_CONFIG", root().join("examples/config.json")).output().unwrap()
 }
 
 fn spawn_at(config: &str, operator: Option<&Path>) -> (Child, PathBuf) {
-    let path = file("config.json", config);
+    let path = temp_file("config.json", config);
     let mut command = Command::new(env!("CARGO_BIN_EXE_yarrowspoke"));
     if let Some(operator) = operator {
         command.arg("serve").arg("--operator").arg(operator);
@@ -240,7 +242,7 @@
         read_message(&mut self.reader).ok().flatten()
     }
 
-    pub fn ask(&mut self, request: &str) -> Option<Message> {
+    pub fn request(&mut self, request: &str) -> Option<Message> {
         self.send(request.as_bytes());
         self.answer()
     }
@@ -260,7 +262,7 @@
 }
 
 /// An id that no other call has.
-pub fn fresh() -> String {
+pub fn unique_id() -> String {
     format!("fresh-{}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
--- a/crates/yarrowspoke-front/tests/crossings.rs
+++ b/crates/yarrowspoke-front/tests/crossings.rs
@@ -4,7 +4,7 @@
 mod common;
 mod scripted;
 
-use common::{file, fresh, get, post, until};
+use common::{get, post, temp_file, unique_id, wait_until};
 use scripted::stage::{up, Stage, EMPTY};
 use scripted::{entry, listing, ok, Peer, Program, Wire};
 use std::process::Command;
@@ -18,13 +18,13 @@
 
 /// Starts the program with a configuration that it waits for; `then` is done while it waits.
 fn held_at_its_start(stage: &Stage, then: impl FnOnce(&Program)) -> Program {
-    let path = file("held.json", "");
+    let path = temp_file("held.json", "");
     std::fs::remove_file(&path).unwrap();
     assert!(Command::new("mkfifo").arg(&path).status().unwrap().success());
     let program = Program::start(&path, stage.listen);
     // Opened for writing only once the program has opened it for reading.
     let mut pipe = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
-    let whole = file("whole.json", &stage.config);
+    let whole = temp_file("whole.json", &stage.config);
     std::fs::rename(whole, &path).unwrap();
     then(&program);
     std::io::Write::write_all(&mut pipe, stage.config.as_bytes()).unwrap();
@@ -53,7 +53,7 @@
     let (mut other, _watch_beside) = beside.watched(&[]);
     let (mut program, _watch) = stage.watched(&[&machine]);
     let mut client = program.client();
-    client.write(&get(&fresh(), "5.0"));
+    client.write(&get(&unique_id(), "5.0"));
     let mut line = machine.connection();
     assert!(line.message().is_some());
     program.signal("TERM");
@@ -64,7 +64,7 @@
     assert!(status(&mut client).contains(" 200 ") && client.ends());
     program.halt();
     let mut late = program.client();
-    late.write(&get(&fresh(), "5.0"));
+    late.write(&get(&unique_id(), "5.0"));
     other.signal("TERM");
     assert!(other.wait().success());
     program.wake();
@@ -81,7 +81,7 @@
     let stage = Stage::set(EMPTY);
     let (mut program, _watch) = stage.watched(&[&machine]);
     let mut client = program.client();
-    client.write(&post(&fresh(), "8.0"));
+    client.write(&post(&unique_id(), "8.0"));
     let mut line = machine.connection();
     assert!(line.message().is_some());
     program.signal("HUP");
@@ -91,7 +91,7 @@
     program.signal("HUP");
     // The second half of a request that had begun still comes.
     let mut half = program.client();
-    let request = post(&fresh(), "8.0");
+    let request = post(&unique_id(), "8.0");
     half.write(&request[..60]);
     line.answer("one");
     assert_eq!(client.message().unwrap().body, b"one");
@@ -121,7 +121,7 @@
     drop(silent);
     for _ in 0..10 {
         let mut client = program.client();
-        client.write(&get(&fresh(), "5.0"));
+        client.write(&get(&unique_id(), "5.0"));
         let mut line = machines[1].connection_within(Duration::from_secs(5)).expect("the other machine");
         assert!(line.message().is_some());
         line.answer("x");
@@ -152,7 +152,7 @@
             let next = watch.message().unwrap();
             assert!(next.start().contains("from=4&hold_ms=3000"), "{next:?}");
         }
-        until("it serves", || program.is_up());
+        wait_until("it serves", || program.is_up());
     }
 }
 
@@ -168,7 +168,7 @@
     watch.answer(&listing(2, true, &[up(1, &machines[1])]));
     assert!(watch.message().unwrap().start().contains("from=2&hold_ms=3000"));
     let mut client = program.client();
-    client.write(&get(&fresh(), "5.0"));
+    client.write(&get(&unique_id(), "5.0"));
     assert!(machines[1].connection().message().is_some());
     assert!(machines[0].connection_within(Duration::ZERO).is_none());
 }
@@ -182,7 +182,7 @@
     let config = config::parse(include_bytes!("../../../examples/config.json")).unwrap();
     let discovery = Discovery::new(peer.address, config.settings.names, 5, 1_000_000);
     let (to, inputs) = async_channel::bounded(1);
-    to.try_send(Input::Fleet).unwrap_or_else(|_| panic!("room for one"));
+    to.try_send(Input::RestrictionsChanged).unwrap_or_else(|_| panic!("room for one"));
     let lines = [entry("s-0", peer.address, "draining", 41, 0)];
     let served = std::thread::spawn(move || {
         let mut watch = peer.connection();
@@ -200,7 +200,7 @@
         }
     }));
     block_on(async {
-        assert!(matches!(inputs.try_recv(), Ok(Input::Fleet)));
+        assert!(matches!(inputs.try_recv(), Ok(Input::RestrictionsChanged)));
         let second = discovery.supersede_watches();
         let mut watch = Box::pin(discovery.watch(second, to));
         while !served.is_finished() {
@@ -222,7 +222,7 @@
         let stage = Stage::set(EMPTY);
         let (program, mut watch) = stage.watched(&[&machine]);
         let mut client = program.client();
-        client.write(&get(&fresh(), "9.0"));
+        client.write(&get(&unique_id(), "9.0"));
         let mut line = machine.connection();
         assert!(line.message().is_some());
         let (status_then, build, since) = change;
@@ -244,13 +244,13 @@
     let mut clients = [program.client(), program.client()];
     for round in 0..20 {
         let [first, second] = &mut clients;
-        first.write(&get(&fresh(), "9.0"));
+        first.write(&get(&unique_id(), "9.0"));
         let mut used = machine.connection();
         assert!(used.message().is_some());
         // The answer and the next request come in one turn: the program stands still meanwhile.
         program.halt();
         used.answer("first");
-        second.write(&get(&fresh(), "9.0"));
+        second.write(&get(&unique_id(), "9.0"));
         program.wake();
         assert_eq!(first.message().unwrap().body, b"first");
         let begun = Instant::now();
@@ -292,7 +292,7 @@
     let mut lines: Vec<Wire> = Vec::new();
     let mut ask = |program: &Program| {
         let mut client = program.client();
-        client.write(&get(&fresh(), "5.0"));
+        client.write(&get(&unique_id(), "5.0"));
         let begun = Instant::now();
         loop {
             assert!(begun.elapsed() < scripted::PATIENCE, "no answer");
@@ -320,7 +320,7 @@
     assert!(cast.starts_with("BALLOT 42 0 "), "{cast}");
     news.write("* progress 42 0 reverting 0.0 0\r\n");
     program.logs("phase=GoingBack");
-    until("nothing goes to the build any more", || !ask(&program).contains(" 200 "));
+    wait_until("nothing goes to the build any more", || !ask(&program).contains(" 200 "));
     vote.write("OK 42 0 canary 1.0 900\r\n");
     // It is closed once its answer is read.
     assert!(vote.ends());
@@ -346,7 +346,7 @@
         let line = program.logs("the old configuration stays");
         assert!(line.contains(says), "{line}");
         let mut client = program.client();
-        client.write(&post(&fresh(), "5.0"));
+        client.write(&post(&unique_id(), "5.0"));
         let mut line = machine.connection();
         assert!(line.message().is_some());
         line.write(&ok("still").replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n"));
--- a/crates/yarrowspoke-front/tests/crowded/front.rs
+++ b/crates/yarrowspoke-front/tests/crowded/front.rs
@@ -1,7 +1,7 @@
 //! Processes of the program, and the signals that they get.
 
 use super::{lock, BusyDiscovery, Door};
-use crate::common::{self, file, free_port};
+use crate::common::{self, free_port, temp_file};
 use std::fs::File;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
 
 impl Front {
     fn start(number: usize, listen: SocketAddr, discovery: SocketAddr, config: String) -> Self {
-        let path = file("config.json", &config);
+        let path = temp_file("config.json", &config);
         let child = Self::spawn(number, &path);
         let now = Instant::now();
         let (starts, moves) = (vec![now], Vec::new());
@@ -65,7 +65,7 @@
     /// Waits until the process listens; one that ends before fails the test at once, with what it left behind.
     pub fn wait_listening(&mut self) {
         let number = self.number;
-        common::until(&format!("front {number} listens"), || {
+        common::wait_until(&format!("front {number} listens"), || {
             if let Some(status) = self.child.try_wait().unwrap() {
                 let config = std::fs::read_to_string(&self.path).unwrap();
                 panic!("front {number} ended with {status} before it listened, by\n{config}");
--- a/crates/yarrowspoke-front/tests/crowded/server.rs
+++ b/crates/yarrowspoke-front/tests/crowded/server.rs
@@ -1,7 +1,7 @@
 //! Machines that drain, go and come back under their names and addresses.
 
 use super::{lock, read_head, write_answer};
-use crate::common::{free_port, until};
+use crate::common::{free_port, wait_until};
 use std::io::{BufReader, Read};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -60,7 +60,7 @@
 /// that is being started.
 fn listen_again(address: SocketAddr) -> TcpListener {
     let mut listener = None;
-    until("the address of a machine is free again", || {
+    wait_until("the address of a machine is free again", || {
         listener = TcpListener::bind(address).ok();
         listener.is_some()
     });
--- a/crates/yarrowspoke-front/tests/large_list.rs
+++ b/crates/yarrowspoke-front/tests/large_list.rs
@@ -3,7 +3,7 @@
 mod common;
 mod scripted;
 
-use common::{file, free_port, until};
+use common::{free_port, temp_file, wait_until};
 use scripted::{listing, Peer, Program};
 
 /// As many machines as the operators expect, and what a front may hold, in KiB.
@@ -41,14 +41,14 @@
             .replace(held, if known { &whole } else { held })
             .replace("\"ask\"", "\"push\"")
             .replace("\"AskWithinUs\": 10000000, ", "");
-        let program = Program::start(&file("config.json", &config), listen);
+        let program = Program::start(&temp_file("config.json", &config), listen);
         let mut watch = discovery.connection();
         let asked = watch.message().unwrap();
         assert!(asked.start().contains(if known { "from=7" } else { "from=0" }), "{asked:?}");
         watch.answer(&whole);
         let next = watch.message().unwrap();
         assert!(next.start().contains("from=7") && !next.start().contains("hold_ms=0"), "{next:?}");
-        until("it is up", || program.is_up());
+        wait_until("it is up", || program.is_up());
         let peak = peak_kib(&program);
         assert!(peak < MEMORY_KIB, "{peak} KiB at its peak");
     }
--- a/crates/yarrowspoke-front/tests/operator.rs
+++ b/crates/yarrowspoke-front/tests/operator.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{file, program, root};
+use common::{root, run_program, temp_file};
 use std::process::Output;
 use yarrowspoke_front::run::Files;
 
@@ -16,16 +16,16 @@
 
 #[test]
 fn check_tells_each_fault_with_its_place_and_a_bad_file_starts_nothing() {
-    let bad = file("bad", BAD);
+    let bad = temp_file("bad", BAD);
     let path = bad.to_str().unwrap();
     for args in [&["check", path][..], &["power", path], &["serve", "--operator", path]] {
-        let out = program(args);
+        let out = run_program(args);
         assert!(!out.status.success(), "{args:?}");
         for place in [":2:16: found 0.9, expected a rate above 0 and under 0.5", ":4:16: found -1"] {
             assert!(error(&out).contains(place), "{args:?}: {}", error(&out));
         }
     }
-    let out = program(&["check", "nowhere.sexp"]);
+    let out = run_program(&["check", "nowhere.sexp"]);
     assert!(!out.status.success() && error(&out).contains("nowhere.sexp"), "{}", error(&out));
 }
 
@@ -35,11 +35,11 @@
     let path = deployed.to_str().unwrap();
     let ample =
         ["check", path, "--fronts", "1", "--requests", "100000", "--stage", "60", "--machines", "2000"];
-    let out = program(&ample);
+    let out = run_program(&ample);
     assert!(out.status.success() && !String::from_utf8_lossy(&out.stdout).contains("warning"), "{out:?}");
-    let out = program(&["check", path, "--fronts", "180", "--requests", "1000"]);
+    let out = run_program(&["check", path, "--fronts", "180", "--requests", "1000"]);
     assert!(out.status.success() && String::from_utf8_lossy(&out.stdout).contains("warning"), "{out:?}");
-    let out = program(&["power", path]);
+    let out = run_program(&["power", path]);
     assert!(
         out.status.success() && String::from_utf8_lossy(&out.stdout).contains("within a stage"),
         "{out:?}"
@@ -49,7 +49,7 @@
 #[test]
 fn files_are_read_as_one_whole_so_that_a_bad_one_changes_nothing() {
     let config = root().join("examples/config.json");
-    let operator = file("turns", GOOD);
+    let operator = temp_file("turns", GOOD);
     let files = Files { config, operator: Some(operator.clone()) };
     let read = files.read(None).unwrap().config.settings.module.verdicts.unwrap();
     assert_eq!((read.false_alarm, read.least_slowness), (0.01, 2.0));
--- a/crates/yarrowspoke-front/tests/rules.rs
+++ b/crates/yarrowspoke-front/tests/rules.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{fresh, get, post, until, Client, World};
+use common::{get, post, unique_id, wait_until, Client, TestEnvironment};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use yarrowspoke_toy::{Behaviour, Message};
@@ -12,15 +12,15 @@
 }
 
 fn ask(client: &mut Client, target: &str, more: &str) -> Message {
-    let id = fresh();
+    let id = unique_id();
     let head = format!("GET {target} HTTP/1.1\r\nHost: h\r\nX-Call-Id: {id}\r\nX-Caller: acme\r\nX-Budget: 2.0\r\n{more}\r\n");
-    client.ask(&head).unwrap()
+    client.request(&head).unwrap()
 }
 
 #[test]
 fn what_is_marked_once_is_never_sent_twice_though_its_class_is_safe() {
     // Danger: a GET that counts. Machines reset after they took it; a safe class would be sent again.
-    let world = World::with_rules(
+    let world = TestEnvironment::with_rules(
         &[Behaviour::Break, Behaviour::Break, Behaviour::Break],
         &rules("(rule counts (when \"query['vote'].orValue('') != ''\") (effect once))"),
     );
@@ -37,7 +37,7 @@
 
 #[test]
 fn attempts_are_capped_and_a_refusal_comes_from_no_machine() {
-    let world = World::with_rules(
+    let world = TestEnvironment::with_rules(
         &[Behaviour::TurnAway, Behaviour::TurnAway, Behaviour::TurnAway, Behaviour::TurnAway],
         &rules(
             "(rule two (when \"segments[1].orValue('') == 'two'\") (attempts 2))
@@ -51,19 +51,20 @@
     assert_eq!(world.seen(), 2);
     let answer = ask(&mut client, "/article/shut/7", "");
     assert_eq!((answer.start().contains(" 503 "), answer.field("retry-after")), (true, Some("0.400")));
-    let answer = client.ask(&post(&fresh(), "2.0").replace("Host: h", "Host: h\r\nx-app: old")).unwrap();
+    let answer =
+        client.request(&post(&unique_id(), "2.0").replace("Host: h", "Host: h\r\nx-app: old")).unwrap();
     assert_eq!((answer.start().contains(" 503 "), answer.field("retry-after")), (true, None));
     assert_eq!(world.seen(), 2);
     // A header that rules read stands twice, in another case: each reader might believe another.
-    let twice = post(&fresh(), "2.0").replace("Host: h", "Host: h\r\nX-App: new\r\nx-aPP: old");
-    let answer = world.client().ask(&twice).unwrap();
+    let twice = post(&unique_id(), "2.0").replace("Host: h", "Host: h\r\nX-App: new\r\nx-aPP: old");
+    let answer = world.client().request(&twice).unwrap();
     assert!(answer.start().contains(" 400 "), "{answer:?}");
     assert_eq!(world.seen(), 2);
 }
 
 #[test]
 fn a_limit_by_section_refuses_with_a_time_to_come_back() {
-    let world = World::with_rules(
+    let world = TestEnvironment::with_rules(
         &[Behaviour::Serve],
         &rules(
             "(rule sections (when \"class == 'article'\")
@@ -82,13 +83,13 @@
     assert_eq!(world.seen(), 9);
     // Other classes are under no limit.
     for _ in 0..8 {
-        assert!(client.ask(&post(&fresh(), "2.0")).unwrap().start().contains(" 200 "));
+        assert!(client.request(&post(&unique_id(), "2.0")).unwrap().start().contains(" 200 "));
     }
 }
 
 #[test]
 fn requests_over_the_rules_bounds_are_answered_before_them() {
-    let world = World::with_rules(
+    let world = TestEnvironment::with_rules(
         &[Behaviour::Serve],
         &rules("(target 32) (header 8) (rule r (when \"headers['x-a'].orValue('') == 'b'\") (attempts 1))"),
     );
@@ -111,7 +112,7 @@
              (rule marked (when \"segments[1].orValue('') == '{marked}'\") (attempts 1))"
         ))
     };
-    let world = Arc::new(World::with_rules(&[Behaviour::Serve, Behaviour::Serve], &set("a", "b")));
+    let world = Arc::new(TestEnvironment::with_rules(&[Behaviour::Serve, Behaviour::Serve], &set("a", "b")));
     let over = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..4)
         .map(|_| {
@@ -138,7 +139,7 @@
     for turn in 0..12 {
         let (now_shut, now_open) = if turn % 2 == 0 { ("b", "a") } else { ("a", "b") };
         world.reload_rules(&set(now_shut, now_open));
-        until("the new set is in force", || shut(now_shut));
+        wait_until("the new set is in force", || shut(now_shut));
         assert!(!shut(now_open), "of two sets one is in force");
         if turn % 3 == 0 {
             world.reload_rules("(rules (rule broken (when \"clas == 1\") (effect once)))");
@@ -155,8 +156,8 @@
 
 #[test]
 fn a_rule_that_would_loosen_an_effect_starts_nothing() {
-    let file = common::file("loosen", "(rules (rule r (when \"true\") (class article)))");
-    let out = common::program(&["serve", "--operator", file.to_str().unwrap()]);
+    let file = common::temp_file("loosen", "(rules (rule r (when \"true\") (class article)))");
+    let out = common::run_program(&["serve", "--operator", file.to_str().unwrap()]);
     let error = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(!out.status.success(), "{error}");
     assert!(error.contains(":1:8: found class article for requests of class comment"), "{error}");
@@ -168,8 +169,8 @@
       (rule live (when \"segments[1].orValue('') == 'live' && budget < 1s\") (attempts 1) (subject \"segments[1].orValue('')\"))
       (rule never (when \"class == 'comment'\") (effect once))
       (rule app (when \"headers['x-app'].orValue('').startsWith('go')\") (zone a)))";
-    let file = common::file("explain", text);
-    let request = common::file(
+    let file = common::temp_file("explain", text);
+    let request = common::temp_file(
         "request",
         &get("7", "0.5")
             .replace("/article/7?q=1", "/article/live/3")
@@ -177,7 +178,7 @@
     );
     let config = common::root().join("examples/config.json");
     let args = ["explain", file.to_str().unwrap(), "--request", request.to_str().unwrap()];
-    let out = common::program(&[&args[..], &["--config", config.to_str().unwrap()]].concat());
+    let out = common::run_program(&[&args[..], &["--config", config.to_str().unwrap()]].concat());
     let told = String::from_utf8_lossy(&out.stdout).into_owned();
     assert!(out.status.success(), "{out:?}");
     for line in [
@@ -193,11 +194,11 @@
         assert!(told.contains(line), "{line}: {told}");
     }
     assert!(!told.contains("rule never"), "{told}");
-    let all = common::program(&[&args[..], &["--all"]].concat());
+    let all = common::run_program(&[&args[..], &["--all"]].concat());
     let told = String::from_utf8_lossy(&all.stdout).into_owned();
     assert!(told.contains("rule never: does not hold, and was not looked at"), "{told}");
-    let cut = common::file("cut", "GET /article HTTP/1.1\r\nX-Call-Id: 1\r\n");
-    let out = common::program(&["explain", file.to_str().unwrap(), "--request", cut.to_str().unwrap()]);
+    let cut = common::temp_file("cut", "GET /article HTTP/1.1\r\nX-Call-Id: 1\r\n");
+    let out = common::run_program(&["explain", file.to_str().unwrap(), "--request", cut.to_str().unwrap()]);
     assert!(!out.status.success() && String::from_utf8_lossy(&out.stderr).contains("cut short"), "{out:?}");
 }
 
@@ -207,9 +208,9 @@
       (rule a (when \"class == 'article'\") (refuse 1))
       (rule b (when \"class == 'article' && repeat\") (effect once))
       (rule c (when \"class == 'comment'\") (refuse 1)))";
-    let file = common::file("odd", text);
+    let file = common::temp_file("odd", text);
     let config = common::root().join("examples/config.json");
-    let out = common::program(&["check", file.to_str().unwrap(), "--config", config.to_str().unwrap()]);
+    let out = common::run_program(&["check", file.to_str().unwrap(), "--config", config.to_str().unwrap()]);
     let told = String::from_utf8_lossy(&out.stdout).into_owned();
     assert!(out.status.success(), "{out:?}");
     for line in ["rules: 3, at most", ":3:7: rule b is never reached: rule a", "every request is refused"] {
@@ -222,7 +223,8 @@
     let config = common::root().join("examples/config.json");
     for name in ["rules.sexp", "quiet.sexp"] {
         let file = common::root().join("examples").join(name);
-        let out = common::program(&["check", file.to_str().unwrap(), "--config", config.to_str().unwrap()]);
+        let out =
+            common::run_program(&["check", file.to_str().unwrap(), "--config", config.to_str().unwrap()]);
         let told = String::from_utf8_lossy(&out.stdout).into_owned();
         assert!(out.status.success() && !told.contains("warning"), "{name}: {out:?}");
     }
--- a/crates/yarrowspoke-front/tests/scripted/stage.rs
+++ b/crates/yarrowspoke-front/tests/scripted/stage.rs
@@ -1,7 +1,7 @@
 //! The program's configuration, with scripted discovery and platform in it.
 
 use super::{entry, listing, Peer, Program, Wire};
-use crate::common::{file, free_port};
+use crate::common::{free_port, temp_file};
 
 /// Scripted discovery and platform, and the program's configuration among them.
 pub struct Stage {
@@ -33,7 +33,7 @@
     }
 
     pub fn start(&self) -> Program {
-        Program::start(&file("config.json", &self.config), self.listen)
+        Program::start(&temp_file("config.json", &self.config), self.listen)
     }
 
     /// The first call of the watch, answered with this list.
--- a/crates/yarrowspoke-front/tests/shape.rs
+++ b/crates/yarrowspoke-front/tests/shape.rs
@@ -2,24 +2,24 @@
 
 mod common;
 
-use common::{fresh, get, until, World};
+use common::{get, unique_id, wait_until, TestEnvironment};
 use std::io::{BufRead, BufReader};
 use std::sync::{Arc, Mutex};
 use yarrowspoke::interface::{Action, Verdict};
 use yarrowspoke_front::config::{parse, Config, ConfigError};
-use yarrowspoke_front::watch::{differences, Kind};
+use yarrowspoke_front::shadow_settings::{differences, DecisionKind};
 use yarrowspoke_toy::Behaviour;
 
 const PROBES: &str = r#""Bounds": {"#;
 
 /// Requests that the machines got and that carry no call's id.
-fn probes(world: &World) -> usize {
+fn probes(world: &TestEnvironment) -> usize {
     let seen = world.machines.iter().flat_map(|m| m.seen());
     seen.filter(|m| m.field("x-call-id").is_none()).count()
 }
 
-fn ask(world: &World) {
-    let answer = world.client().ask(&get(&fresh(), "2.0")).unwrap();
+fn ask(world: &TestEnvironment) {
+    let answer = world.client().request(&get(&unique_id(), "2.0")).unwrap();
     assert!(answer.start().contains(" 200 "), "{answer:?}");
 }
 
@@ -27,9 +27,9 @@
 fn where_probes_are_allowed_a_slow_machine_is_asked_before_it_gets_a_request() {
     // Slow enough that another machine would be better, and never so slow that the probe is not answered.
     let late = [Behaviour::ServeLate(200), Behaviour::ServeLate(200)];
-    let world = World::told(&late, PROBES, r#""Bounds": {"Probes": true, "#);
+    let world = TestEnvironment::with_config_change(&late, PROBES, r#""Bounds": {"Probes": true, "#);
     (0..4).for_each(|_| ask(&world));
-    until("a machine was asked", || {
+    wait_until("a machine was asked", || {
         ask(&world);
         probes(&world) > 0
     });
@@ -47,7 +47,11 @@
 #[test]
 fn what_is_watched_is_counted_by_kind_and_never_done() {
     let late = [Behaviour::ServeLate(200), Behaviour::ServeLate(200)];
-    let mut world = World::told(&late, r#""seed""#, r#""watch": {"Bounds": {"Probes": true}}, "seed""#);
+    let mut world = TestEnvironment::with_config_change(
+        &late,
+        r#""seed""#,
+        r#""watch": {"Bounds": {"Probes": true}}, "seed""#,
+    );
     let told = Arc::new(Mutex::new(String::new()));
     let (lines, sink) = (BufReader::new(world.front.stderr.take().unwrap()), Arc::clone(&told));
     std::thread::spawn(move || {
@@ -55,7 +59,7 @@
             sink.lock().unwrap().push_str(&l);
         });
     });
-    until("the log tells of a probe that would have been", || {
+    wait_until("the log tells of a probe that would have been", || {
         ask(&world);
         told.lock().unwrap().contains("Probe: ")
     });
@@ -71,7 +75,7 @@
 #[test]
 fn settings_of_the_new_shape_are_read_and_slips_in_them_are_named() {
     let plain = with("\"toy\"", "\"toy\"").unwrap();
-    assert!(plain.watch.is_none() && !plain.settings.module.probes);
+    assert!(plain.shadow_settings.is_none() && !plain.settings.module.probes);
     let without = with(", \"Source\": \"answers\"", "").unwrap();
     assert_eq!(without.settings.module.report_source, plain.settings.module.report_source);
     for (from, to, field) in [
@@ -91,7 +95,7 @@
 fn what_is_watched_lies_over_the_settings_and_changes_nothing_in_force() {
     let over = "\"watch\": {\"Bounds\": {\"Probes\": true}, \"Domain\": {\"FlagShare\": 0.5}}, \"seed\"";
     let config = with("\"seed\"", over).unwrap();
-    let watch = config.watch.unwrap().module;
+    let watch = config.shadow_settings.unwrap().module;
     assert!(watch.probes && !config.settings.module.probes);
     assert_eq!((watch.release.flag_share, config.settings.module.release.flag_share), (0.5, 0.0));
     assert_eq!(watch.max_attempts, config.settings.module.max_attempts);
@@ -103,7 +107,13 @@
     let (log, timer) = (Action::Log("x".into()), Action::Timer { name: 0, after: 1 });
     let vote = Action::Vote { build: 2, stage: 0, verdict: Verdict::On };
     assert_eq!(differences(&[send(1), log], &[timer, send(1)]), []);
-    assert_eq!(differences(&[send(1)], &[send(2)]), [Kind::Send]);
-    assert_eq!(differences(&[send(1)], &[Action::Probe { machine: 1 }]), [Kind::Send, Kind::Probe]);
-    assert_eq!(differences(&[], &[Action::Fail { id: 1 }, vote]), [Kind::GiveUp, Kind::Vote]);
+    assert_eq!(differences(&[send(1)], &[send(2)]), [DecisionKind::Send]);
+    assert_eq!(
+        differences(&[send(1)], &[Action::Probe { machine: 1 }]),
+        [DecisionKind::Send, DecisionKind::Probe]
+    );
+    assert_eq!(
+        differences(&[], &[Action::Fail { id: 1 }, vote]),
+        [DecisionKind::RefuseOrFail, DecisionKind::Vote]
+    );
 }
--- a/crates/yarrowspoke-front/tests/sockets.rs
+++ b/crates/yarrowspoke-front/tests/sockets.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{any_port, free_port, fresh, get, post, spawn, until, World};
+use common::{any_port, free_port, get, post, spawn, unique_id, wait_until, TestEnvironment};
 use std::io::Read;
 use std::net::Shutdown;
 use std::time::Duration;
@@ -11,10 +11,10 @@
 #[test]
 fn a_call_is_passed_on_and_its_answer_comes_back_unchanged() {
     for behaviour in [Behaviour::Serve, Behaviour::ServeChunked] {
-        let world = World::start(&[behaviour]);
+        let world = TestEnvironment::start(&[behaviour]);
         let mut client = world.client();
         for n in 0..3 {
-            let answer = client.ask(&post(&format!("id-{n}"), "2.0")).unwrap();
+            let answer = client.request(&post(&format!("id-{n}"), "2.0")).unwrap();
             assert!(answer.start().contains(" 200 "), "{answer:?}");
             assert_eq!(answer.body, b"/comment|hello");
         }
@@ -30,10 +30,10 @@
 #[test]
 fn what_never_ran_goes_elsewhere_and_what_may_have_run_twice_does_not() {
     // Danger: an effect that happens twice.
-    let world = World::start(&[Behaviour::TurnAway, Behaviour::Serve]);
+    let world = TestEnvironment::start(&[Behaviour::TurnAway, Behaviour::Serve]);
     let mut client = world.client();
     for n in 0..10 {
-        let answer = client.ask(&post(&format!("a{n}"), "2.0")).unwrap();
+        let answer = client.request(&post(&format!("a{n}"), "2.0")).unwrap();
         assert!(answer.start().contains(" 200 "), "{answer:?}");
     }
     assert_eq!(world.machines[1].seen().len(), 10);
@@ -41,7 +41,7 @@
         machine.behave(Behaviour::Break);
     }
     let before = world.seen();
-    let answer = client.ask(&post("b", "2.0")).unwrap();
+    let answer = client.request(&post("b", "2.0")).unwrap();
     // Failed, and not as a refusal: that would promise that trying again is harmless.
     assert!(answer.start().contains(" 502 "), "{answer:?}");
     assert_eq!(world.seen(), before + 1);
@@ -49,26 +49,26 @@
 
 #[test]
 fn a_machine_that_hangs_costs_no_answer() {
-    let world = World::start(&[Behaviour::Hang]);
-    let answer = world.client().ask(&post("c", "0.3")).unwrap();
+    let world = TestEnvironment::start(&[Behaviour::Hang]);
+    let answer = world.client().request(&post("c", "0.3")).unwrap();
     assert!(answer.start().contains(" 502 "), "{answer:?}");
     // Giving up closes the connection.
-    until("the attempt's connection has ended", || world.machines[0].ended() == 1);
+    wait_until("the attempt's connection has ended", || world.machines[0].ended() == 1);
 }
 
 #[test]
 fn a_client_that_leaves_takes_its_attempt_with_it() {
-    let world = World::start(&[Behaviour::Hang]);
+    let world = TestEnvironment::start(&[Behaviour::Hang]);
     let mut client = world.client();
     client.send(post("d", "5.0").as_bytes());
-    until("the attempt is out", || world.seen() == 1);
+    wait_until("the attempt is out", || world.seen() == 1);
     client.stream.shutdown(Shutdown::Both).unwrap();
-    until("the attempt's connection has ended", || world.machines[0].ended() == 1);
+    wait_until("the attempt's connection has ended", || world.machines[0].ended() == 1);
 }
 
 #[test]
 fn bad_input_gets_its_status_and_stalls_nobody() {
-    let world = World::start(&[Behaviour::Serve]);
+    let world = TestEnvironment::start(&[Behaviour::Serve]);
     let mut good = world.client();
     let long = format!("GET /article HTTP/1.1\r\nX: {}\r\n\r\n", "y".repeat(9_000));
     let large = "POST /comment HTTP/1.1\r\nX-Call-Id: e\r\nContent-Length: 70000\r\n\r\n";
@@ -89,21 +89,21 @@
         (&long, " 431 "),
         (large, " 413 "),
     ] {
-        let answer = world.client().ask(bad).unwrap();
+        let answer = world.client().request(bad).unwrap();
         assert!(answer.start().contains(status), "{bad:.40}: {answer:?}");
-        let answer = good.ask(&get(&fresh(), "1.0")).unwrap();
+        let answer = good.request(&get(&unique_id(), "1.0")).unwrap();
         assert_eq!(answer.body, b"/article/7?q=1|");
     }
     // One that stops in the midst of a request holds nobody up either.
     let mut halfway = world.client();
     halfway.send(b"POST /comment HTTP/1.1\r\nX-Call-Id: g\r\nContent-Length: 5\r\n\r\nhe");
-    assert!(good.ask(&get(&fresh(), "1.0")).unwrap().start().contains(" 200 "));
+    assert!(good.request(&get(&unique_id(), "1.0")).unwrap().start().contains(" 200 "));
     assert_eq!(world.machines[0].seen().len(), 16);
 }
 
 #[test]
 fn bytes_that_come_one_by_one_make_a_request() {
-    let world = World::start(&[Behaviour::Serve]);
+    let world = TestEnvironment::start(&[Behaviour::Serve]);
     let mut client = world.client();
     for byte in post("i", "2.0").as_bytes() {
         client.send(&[*byte]);
@@ -113,49 +113,49 @@
 
 #[test]
 fn a_machine_that_drains_gets_nothing_new() {
-    let world = World::start(&[Behaviour::Serve, Behaviour::Serve]);
+    let world = TestEnvironment::start(&[Behaviour::Serve, Behaviour::Serve]);
     let mut client = world.client();
-    until("both machines serve", || {
-        client.ask(&get(&fresh(), "1.0")).unwrap();
+    wait_until("both machines serve", || {
+        client.request(&get(&unique_id(), "1.0")).unwrap();
         world.machines.iter().all(|m| !m.seen().is_empty())
     });
     // The front watches: the first call answers at once, the next waits for news.
-    until("the watch goes on", || world.discovery.watches() >= 2);
+    wait_until("the watch goes on", || world.discovery.watches() >= 2);
     world.discovery.list("s-0", world.machines[0].address, "draining", 41);
     // The watch that follows the change shows that the front has read it.
-    until("the change is read", || world.discovery.watches() >= 3);
-    let answer = client.ask(&get(&fresh(), "1.0")).unwrap();
+    wait_until("the change is read", || world.discovery.watches() >= 3);
+    let answer = client.request(&get(&unique_id(), "1.0")).unwrap();
     assert!(answer.start().contains(" 200 "));
     let before = world.machines[0].seen().len();
     for _ in 0..30 {
-        client.ask(&get(&fresh(), "1.0")).unwrap();
+        client.request(&get(&unique_id(), "1.0")).unwrap();
     }
     assert_eq!(world.machines[0].seen().len(), before);
 }
 
 #[test]
 fn the_platform_is_asked_again_after_it_hung_up() {
-    let world = World::start(&[Behaviour::Serve]);
+    let world = TestEnvironment::start(&[Behaviour::Serve]);
     let asked = || world.platform.calls().iter().filter(|c| *c == "NOTIFY").count();
-    until("the front listens", || asked() == 1);
+    wait_until("the front listens", || asked() == 1);
     world.platform.hang_up();
-    until("it listens again", || asked() == 2);
+    wait_until("it listens again", || asked() == 2);
 }
 
 #[test]
 fn a_bad_build_is_voted_back() {
-    let world = World::start(&[Behaviour::Serve; 5]);
+    let world = TestEnvironment::start(&[Behaviour::Serve; 5]);
     let mut client = world.client();
-    until("the front listens", || world.platform.calls().iter().any(|c| c == "NOTIFY"));
+    wait_until("the front listens", || world.platform.calls().iter().any(|c| c == "NOTIFY"));
     // Enough calls that the earlier build is known, then a new one whose machines fail them: one alone may be sick.
-    (0..60).for_each(|_| assert!(client.ask(&get(&fresh(), "1.0")).is_some()));
+    (0..60).for_each(|_| assert!(client.request(&get(&unique_id(), "1.0")).is_some()));
     for (n, machine) in world.machines.iter().enumerate().skip(2) {
         machine.behave(Behaviour::Fail);
         world.discovery.list(&format!("s-{n}"), machine.address, "up", 42);
     }
     world.platform.tell("42 0 canary 1.0 0");
-    until("the build is voted back", || {
-        client.ask(&get(&fresh(), "1.0")).unwrap();
+    wait_until("the build is voted back", || {
+        client.request(&get(&unique_id(), "1.0")).unwrap();
         world.platform.breathe();
         world.platform.calls().iter().any(|c| c == "BALLOT 42 0 abort")
     });
@@ -164,10 +164,10 @@
 #[test]
 fn at_the_limit_of_descriptors_idle_clients_make_room() {
     // Danger: clients keep the connections of a busy moment, and idle ones shut out those with requests.
-    let world = World::with_sockets(&[Behaviour::Serve], 60);
+    let world = TestEnvironment::with_sockets(&[Behaviour::Serve], 60);
     let mut kept: Vec<_> = (0..100).map(|_| world.client()).collect();
     for (n, client) in kept.iter_mut().enumerate() {
-        let answer = client.ask(&get(&format!("o{n}"), "15.0")).unwrap();
+        let answer = client.request(&get(&format!("o{n}"), "15.0")).unwrap();
         assert!(answer.start().contains(" 200 "), "client {n}: {answer:?}");
     }
 }
@@ -175,7 +175,7 @@
 #[test]
 fn a_request_that_aged_unread_is_not_taken_for_a_fresh_one() {
     // Danger: work for a client that has gone, and an answer after its time.
-    let world = World::with_sockets(&[Behaviour::Serve], 60);
+    let world = TestEnvironment::with_sockets(&[Behaviour::Serve], 60);
     let mut halfway: Vec<_> = (0..40).map(|_| world.client()).collect();
     halfway.iter_mut().for_each(|c| c.send(b"GET /article HTTP/1.1\r\n"));
     let mut late = world.client();
@@ -186,22 +186,22 @@
     assert!(answer.start().contains(" 503 "), "{answer:?}");
     assert_eq!(world.seen(), 0);
     // On the same connection the next one is fresh.
-    assert!(late.ask(&get("next", "5.0")).unwrap().start().contains(" 200 "));
+    assert!(late.request(&get("next", "5.0")).unwrap().start().contains(" 200 "));
 }
 
 #[test]
 fn a_stop_answers_all_and_ends_kept_connections_between_requests() {
-    let mut world = World::start(&[Behaviour::Hang, Behaviour::Hang]);
+    let mut world = TestEnvironment::start(&[Behaviour::Hang, Behaviour::Hang]);
     let mut idle = world.client();
-    assert!(idle.ask("GET /up HTTP/1.1\r\n\r\n").is_some());
+    assert!(idle.request("GET /up HTTP/1.1\r\n\r\n").is_some());
     let mut busy = world.client();
     busy.send(post("p", "1.5").as_bytes());
-    until("the request is out", || world.seen() == 1);
+    wait_until("the request is out", || world.seen() == 1);
     world.stop();
     assert!(idle.is_closed());
     // New connections keep coming for a while: they are served, and told that no more will be.
     let mut late = world.client();
-    let answer = late.ask("GET /up HTTP/1.1\r\n\r\n").unwrap();
+    let answer = late.request("GET /up HTTP/1.1\r\n\r\n").unwrap();
     assert!(answer.start().contains(" 503 "), "{answer:?}");
     let answer = busy.answer().unwrap();
     assert!(answer.start().contains(" 502 "), "{answer:?}");
@@ -235,11 +235,11 @@
 #[test]
 fn a_new_configuration_moves_watch_votes_and_news_and_keeps_all_else() {
     // Danger: a signal that nobody handles ends the front, and what it holds with it.
-    let world = World::start(&[Behaviour::Hang, Behaviour::Serve]);
-    until("the front listens", || world.platform.calls().iter().any(|c| c == "NOTIFY"));
+    let world = TestEnvironment::start(&[Behaviour::Hang, Behaviour::Serve]);
+    wait_until("the front listens", || world.platform.calls().iter().any(|c| c == "NOTIFY"));
     let mut kept = world.client();
     kept.send(post("held", "8.0").as_bytes());
-    until("a request is out", || world.seen() == 1);
+    wait_until("a request is out", || world.seen() == 1);
     let hanging = usize::from(world.machines[0].seen().is_empty());
     let (discovery, platform) = (
         Discovery::start(any_port()).unwrap(),
@@ -251,21 +251,21 @@
     // A file that cannot be used changes nothing.
     world.reload("{\"listen\": ");
     world.reload(&world.config_with(&discovery, &platform).replace("8c1f30d27a5be964", "xyz"));
-    assert!(world.client().ask("GET /up HTTP/1.1\r\n\r\n").unwrap().start().contains(" 200 "));
+    assert!(world.client().request("GET /up HTTP/1.1\r\n\r\n").unwrap().start().contains(" 200 "));
     assert_eq!((discovery.watches(), platform.calls().len()), (0, 0));
     world.reload(&world.config_with(&discovery, &platform));
-    until("the watch is at the new address", || discovery.watches() >= 2);
-    until("the news come from the new address", || platform.calls().iter().any(|c| c == "NOTIFY"));
+    wait_until("the watch is at the new address", || discovery.watches() >= 2);
+    wait_until("the news come from the new address", || platform.calls().iter().any(|c| c == "NOTIFY"));
     // What the new discovery tells counts.
     let before = discovery.watches();
     let fresh_machine = yarrowspoke_toy::Machine::start(any_port(), Behaviour::Serve).unwrap();
     world.machines[0].behave(Behaviour::Serve);
     discovery.list("s-9", fresh_machine.address, "up", 41);
     discovery.list(&format!("s-{}", 1 - hanging), world.machines[1 - hanging].address, "draining", 41);
-    until("the change is read", || discovery.watches() >= before + 2);
+    wait_until("the change is read", || discovery.watches() >= before + 2);
     let mut client = world.client();
-    until("the new machine serves", || {
-        client.ask(&get(&fresh(), "1.0")).unwrap();
+    wait_until("the new machine serves", || {
+        client.request(&get(&unique_id(), "1.0")).unwrap();
         !fresh_machine.seen().is_empty()
     });
     // The request that was out before is still out.
@@ -276,8 +276,8 @@
 #[test]
 fn a_spoilt_list_is_asked_for_again_from_the_version_held() {
     // Danger: half a list taken for a whole one removes machines that serve; a watch that gives up misses news.
-    let world = World::start(&[Behaviour::Serve, Behaviour::Serve]);
-    until("the watch goes on", || world.discovery.watches() >= 2);
+    let world = TestEnvironment::start(&[Behaviour::Serve, Behaviour::Serve]);
+    wait_until("the watch goes on", || world.discovery.watches() >= 2);
     world.discovery.spoil(&[
         "\u{9f}\u{3}noise without an end",
         "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n{\"index\": 99, \"snapshot\": true, \"endpoi",
@@ -285,60 +285,60 @@
     ]);
     let before = world.discovery.watches();
     world.discovery.list("s-0", world.machines[0].address, "draining", 41);
-    until("the change is read", || world.discovery.watches() >= before + 4);
-    until("the version is taken on", || world.discovery.asked_from() == Some(3));
+    wait_until("the change is read", || world.discovery.watches() >= before + 4);
+    wait_until("the version is taken on", || world.discovery.asked_from() == Some(3));
     let mut client = world.client();
     for _ in 0..20 {
-        assert!(client.ask(&get(&fresh(), "1.0")).unwrap().start().contains(" 200 "));
+        assert!(client.request(&get(&unique_id(), "1.0")).unwrap().start().contains(" 200 "));
     }
     assert_eq!((world.machines[0].seen().len(), world.machines[1].seen().len()), (0, 20));
 }
 
 #[test]
 fn a_spoilt_line_of_the_platform_spends_its_connection() {
-    let world = World::start(&[Behaviour::Serve]);
+    let world = TestEnvironment::start(&[Behaviour::Serve]);
     let asked = || world.platform.calls().iter().filter(|c| *c == "NOTIFY").count();
-    until("the front listens", || asked() == 1);
+    wait_until("the front listens", || asked() == 1);
     for (n, line) in ["\u{80}\u{7}\r\n", "* progress 42 0 can\r\n", "* prog\r\n"].iter().enumerate() {
         world.platform.utter(line);
-        until("it listens anew", || asked() == n + 2);
+        wait_until("it listens anew", || asked() == n + 2);
     }
 }
 
 #[test]
 fn an_id_in_use_is_nobody_elses() {
     // Danger: the answer made for one request given to another.
-    let world = World::start(&[Behaviour::Hang]);
+    let world = TestEnvironment::start(&[Behaviour::Hang]);
     let mut first = world.client();
     first.send(post("taken", "5.0").as_bytes());
-    until("the request is out", || world.seen() == 1);
-    let answer = world.client().ask(&post("taken", "5.0")).unwrap();
+    wait_until("the request is out", || world.seen() == 1);
+    let answer = world.client().request(&post("taken", "5.0")).unwrap();
     assert!(answer.start().contains(" 409 "), "{answer:?}");
     assert_eq!(world.seen(), 1);
     // Nor is one that was answered: ids are fresh on every request.
     world.machines[0].behave(Behaviour::Serve);
-    assert!(world.client().ask(&post("done", "5.0")).unwrap().start().contains(" 200 "));
-    assert!(world.client().ask(&post("done", "5.0")).unwrap().start().contains(" 409 "));
+    assert!(world.client().request(&post("done", "5.0")).unwrap().start().contains(" 200 "));
+    assert!(world.client().request(&post("done", "5.0")).unwrap().start().contains(" 409 "));
     assert_eq!(world.seen(), 2);
 }
 
 #[test]
 fn who_sends_on_before_the_answer_gets_an_error_and_its_attempt_ends() {
     // Danger: a request that hides behind a wrong length.
-    let world = World::start(&[Behaviour::Hang]);
+    let world = TestEnvironment::start(&[Behaviour::Hang]);
     let mut client = world.client();
     client.send(post("short", "5.0").as_bytes());
-    until("the request is out", || world.seen() == 1);
+    wait_until("the request is out", || world.seen() == 1);
     client.send(b" and more than its length says");
     assert!(client.answer().unwrap().start().contains(" 400 "));
-    until("the attempt's connection has ended", || world.machines[0].ended() == 1);
+    wait_until("the attempt's connection has ended", || world.machines[0].ended() == 1);
     assert_eq!(world.seen(), 1);
 }
 
 #[test]
 fn an_error_reaches_who_sends_without_end() {
     // Danger: bytes left unread reset the connection, and the error is lost with it.
-    let world = World::start(&[Behaviour::Serve]);
+    let world = TestEnvironment::start(&[Behaviour::Serve]);
     for (head, status) in [
         ("POST /comment HTTP/1.1\r\nX-Call-Id: big\r\nContent-Length: 20000000\r\n\r\n", " 413 "),
         ("GET /article HTTP/1.1\r\nX-Long: ", " 431 "),
@@ -354,7 +354,7 @@
 #[test]
 fn who_says_nothing_or_only_half_is_not_waited_for() {
     // Danger: silent connections by hundreds hold the places that requests need.
-    let world = World::start(&[Behaviour::Serve]);
+    let world = TestEnvironment::start(&[Behaviour::Serve]);
     let mut silent = world.client();
     let mut half = world.client();
     half.send(b"GET /article HTTP/1.1\r\nX-Call");
@@ -364,7 +364,7 @@
     assert!(silent.is_closed() && blank.is_closed());
     // One kept between requests ends as well, a little later.
     let mut kept = world.client();
-    assert!(kept.ask(&get(&fresh(), "1.0")).unwrap().start().contains(" 200 "));
+    assert!(kept.request(&get(&unique_id(), "1.0")).unwrap().start().contains(" 200 "));
     assert!(kept.is_closed());
 }
 
@@ -379,22 +379,22 @@
         ("", "X-Load-Report: \u{ff}\u{fe}=\u{1}\r\n", ""),
         ("", "X-Load-Report: mean_ms=much,,=\r\n", ""),
     ] {
-        let world = World::start(&[Behaviour::ServeAmid(before, fields, behind)]);
+        let world = TestEnvironment::start(&[Behaviour::ServeAmid(before, fields, behind)]);
         let mut client = world.client();
         for _ in 0..5 {
-            let answer = client.ask(&post(&fresh(), "2.0")).unwrap();
+            let answer = client.request(&post(&unique_id(), "2.0")).unwrap();
             assert!(answer.start().contains(" 200 "), "{before:?} {fields:?} {behind:?}: {answer:?}");
             assert_eq!(answer.body, b"/comment|hello");
         }
         if !behind.is_empty() {
-            until("spent connections have ended", || world.machines[0].ended() == 5);
+            wait_until("spent connections have ended", || world.machines[0].ended() == 5);
         }
     }
 }
 
 #[test]
 fn a_spoilt_answer_may_have_run_and_is_never_passed_on() {
-    let world = World::start(&[Behaviour::Serve]);
+    let world = TestEnvironment::start(&[Behaviour::Serve]);
     for spoilt in [
         "\u{80}\u{0}\u{1}noise\r\n\r\n",
         "HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nno",
@@ -407,7 +407,7 @@
         world.machines[0].behave(Behaviour::Spoil(spoilt));
         let before = world.seen();
         // Failed, not refused: a refusal promises that it has not run.
-        let answer = world.client().ask(&post(&fresh(), "5.0")).unwrap();
+        let answer = world.client().request(&post(&unique_id(), "5.0")).unwrap();
         assert!(answer.start().contains(" 502 "), "{spoilt:?}: {answer:?}");
         assert_eq!(world.seen(), before + 1);
     }
@@ -416,15 +416,15 @@
 #[test]
 fn idle_clients_make_room_though_nobody_connects() {
     // Danger: clients may hold only so many connections; once idle ones are all of these, nobody can connect.
-    let world = World::with_sockets(&[Behaviour::Serve], 128);
+    let world = TestEnvironment::with_sockets(&[Behaviour::Serve], 128);
     let mut kept: Vec<_> = (0..45).map(|_| world.client()).collect();
     for client in &mut kept {
-        assert!(client.ask(&get(&fresh(), "5.0")).unwrap().start().contains(" 200 "));
+        assert!(client.request(&get(&unique_id(), "5.0")).unwrap().start().contains(" 200 "));
     }
     // Those beyond three tenths end well before the time for which the others may stand.
     let begun = std::time::Instant::now();
     let ended = |n: usize| {
-        until("idle connections have ended", || kept.iter().filter(|c| c.has_ended()).count() >= n);
+        wait_until("idle connections have ended", || kept.iter().filter(|c| c.has_ended()).count() >= n);
         begun.elapsed()
     };
     let (first, all) = (ended(10), ended(45));
@@ -434,12 +434,16 @@
 #[test]
 fn the_key_of_a_keyed_class_is_passed_on_unchanged() {
     // Danger: a machine that does not get it takes a repeat for another request, and runs it again.
-    let world =
-        World::told(&[Behaviour::Serve], r#""Effect": "once""#, r#""Effect": "by_key", "DedupScope": "all""#);
+    let world = TestEnvironment::with_config_change(
+        &[Behaviour::Serve],
+        r#""Effect": "once""#,
+        r#""Effect": "by_key", "DedupScope": "all""#,
+    );
     let mut client = world.client();
-    let keyed = post(&fresh(), "2.0").replacen("X-Budget", "Idempotency-Key: 7437-Fc \"x\"\r\nX-Budget", 1);
-    assert!(client.ask(&keyed).unwrap().start().contains(" 200 "));
-    assert!(client.ask(&post(&fresh(), "2.0")).unwrap().start().contains(" 200 "));
+    let keyed =
+        post(&unique_id(), "2.0").replacen("X-Budget", "Idempotency-Key: 7437-Fc \"x\"\r\nX-Budget", 1);
+    assert!(client.request(&keyed).unwrap().start().contains(" 200 "));
+    assert!(client.request(&post(&unique_id(), "2.0")).unwrap().start().contains(" 200 "));
     let keys: Vec<_> =
         world.machines[0].seen().iter().map(|m| m.field("idempotency-key").map(str::to_owned)).collect();
     assert_eq!(keys, [Some("7437-Fc \"x\"".to_owned()), None]);
--- a/crates/yarrowspoke-front/tests/store.rs
+++ b/crates/yarrowspoke-front/tests/store.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{file, program, World};
+use common::{run_program, temp_file, TestEnvironment};
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -29,7 +29,7 @@
 }
 
 /// Runs of each comment at the machines.
-fn runs(world: &World) -> BTreeMap<String, usize> {
+fn runs(world: &TestEnvironment) -> BTreeMap<String, usize> {
     let mut out = BTreeMap::new();
     for message in world.machines.iter().flat_map(|m| m.seen()) {
         if message.start().starts_with("POST") {
@@ -44,8 +44,8 @@
 fn kill_again_and_again(kills: usize, operator: Option<&str>) -> (usize, usize, usize) {
     let behaviours = [Behaviour::ServeLate(3), Behaviour::Serve, Behaviour::ServeLate(1), Behaviour::Break];
     let mut world = match operator {
-        Some(text) => World::with_rules(&behaviours, text),
-        None => World::start(&behaviours),
+        Some(text) => TestEnvironment::with_rules(&behaviours, text),
+        None => TestEnvironment::start(&behaviours),
     };
     let heard: Arc<Mutex<BTreeMap<String, Vec<String>>>> = Arc::default();
     for round in 0..kills {
@@ -62,7 +62,7 @@
                         let id = format!("c{round}-{client}-{n}");
                         heard.lock().unwrap().entry(id.clone()).or_default();
                         let Some(mut line) = common::connect(listen) else { return };
-                        let Some(answer) = line.ask(&comment(&id)) else { return };
+                        let Some(answer) = line.request(&comment(&id)) else { return };
                         heard.lock().unwrap().entry(id).or_default().push(answer.start().to_owned());
                     }
                 })
@@ -79,7 +79,7 @@
         let prefix = format!("c{round}-");
         for (n, (id, answers)) in ask.into_iter().filter(|a| a.0.starts_with(&prefix)).enumerate() {
             if answers == 0 || n % 7 == 0 {
-                let answer = world.client().ask(&comment(&id)).unwrap();
+                let answer = world.client().request(&comment(&id)).unwrap();
                 heard.lock().unwrap().entry(id).or_default().push(answer.start().to_owned());
             }
         }
@@ -100,7 +100,7 @@
     assert_eq!((doubled, contradicted), (0, 0), "of {all} comments");
     assert!(all >= kills, "{all} comments in {kills} rounds");
     eprintln!("with the store: {doubled} of {all} comments twice after {kills} kills");
-    let out = program(&["store", "verify", dir.to_str().unwrap()]);
+    let out = run_program(&["store", "verify", dir.to_str().unwrap()]);
     assert!(out.status.success(), "{out:?}");
     if std::env::var("YARROWSPOKE_KILLS").is_ok() {
         let (doubled, contradicted, all) = kill_again_and_again(kills, None);
@@ -112,33 +112,34 @@
 #[test]
 fn an_answer_is_given_again_and_articles_never_wait_for_the_disk() {
     let dir = directory();
-    let world = World::with_rules(&[Behaviour::Serve], &section(&dir, ""));
+    let world = TestEnvironment::with_rules(&[Behaviour::Serve], &section(&dir, ""));
     let mut client = world.client();
-    let first = client.ask(&comment("one")).unwrap();
+    let first = client.request(&comment("one")).unwrap();
     assert!(first.start().contains(" 200 "), "{first:?}");
     for _ in 0..3 {
-        let again = client.ask(&comment("one")).unwrap();
+        let again = client.request(&comment("one")).unwrap();
         assert_eq!((again.start(), &again.body), (first.start(), &first.body));
     }
     assert_eq!(world.seen(), 1);
-    assert!(client.ask(&common::get("a1", "1.0")).unwrap().start().contains(" 200 "));
+    assert!(client.request(&common::get("a1", "1.0")).unwrap().start().contains(" 200 "));
     // A large answer is not kept: it is done, and no refusal, which would be leave to try again.
     let other = directory();
-    let world = World::with_rules(&[Behaviour::Serve], &section(&other, "(answers 0)"));
+    let world = TestEnvironment::with_rules(&[Behaviour::Serve], &section(&other, "(answers 0)"));
     let mut client = world.client();
-    assert!(client.ask(&comment("two")).unwrap().start().contains(" 200 "));
-    assert!(client.ask(&comment("two")).unwrap().start().contains(" 409 "));
+    assert!(client.request(&comment("two")).unwrap().start().contains(" 200 "));
+    assert!(client.request(&comment("two")).unwrap().start().contains(" 409 "));
     assert_eq!(world.seen(), 1);
 }
 
 #[test]
 fn at_the_bound_new_comments_are_refused_with_a_time_and_articles_served() {
     let dir = directory();
-    let world = World::with_rules(&[Behaviour::Serve], &section(&dir, "(bytes 100000) (answers 65536)"));
+    let world =
+        TestEnvironment::with_rules(&[Behaviour::Serve], &section(&dir, "(bytes 100000) (answers 65536)"));
     let mut client = world.client();
     let mut refused = None;
     for n in 0..3_000 {
-        let answer = client.ask(&comment(&format!("n{n}"))).unwrap();
+        let answer = client.request(&comment(&format!("n{n}"))).unwrap();
         if answer.start().contains(" 503 ") {
             refused = Some(answer);
             break;
@@ -146,65 +147,65 @@
     }
     let refused = refused.expect("the bound is met");
     assert!(refused.field("retry-after").is_some(), "{refused:?}");
-    assert!(client.ask(&common::get("b1", "1.0")).unwrap().start().contains(" 200 "));
+    assert!(client.request(&common::get("b1", "1.0")).unwrap().start().contains(" 200 "));
     // What was done stays done: room is not made by forgetting it.
     let before = world.seen();
-    assert!(client.ask(&comment("n0")).unwrap().start().contains(" 200 "));
+    assert!(client.request(&comment("n0")).unwrap().start().contains(" 200 "));
     assert_eq!(world.seen(), before);
 }
 
 #[test]
 fn a_directory_is_one_fronts_and_a_bad_one_starts_nothing() {
     let dir = directory();
-    let world = World::with_rules(&[Behaviour::Serve], &section(&dir, ""));
-    let out = program(&["store", "verify", dir.to_str().unwrap()]);
+    let world = TestEnvironment::with_rules(&[Behaviour::Serve], &section(&dir, ""));
+    let out = run_program(&["store", "verify", dir.to_str().unwrap()]);
     let told = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(!out.status.success() && told.contains("lock is held"), "{told}");
     drop(world);
-    let out = program(&["store", "inspect", dir.to_str().unwrap()]);
+    let out = run_program(&["store", "inspect", dir.to_str().unwrap()]);
     assert!(out.status.success(), "{out:?}");
     for (file_name, damage) in [("ledger", 200usize), ("mark", 8)] {
         let path = dir.join(file_name);
         let whole = std::fs::read(&path).unwrap();
         std::fs::write(&path, &whole[..damage]).unwrap();
-        let operator = file("damaged", &section(&dir, ""));
+        let operator = temp_file("damaged", &section(&dir, ""));
         for args in [
             &["serve", "--operator", operator.to_str().unwrap()][..],
             &["store", "verify", dir.to_str().unwrap()],
         ] {
-            let out = program(args);
+            let out = run_program(args);
             let told = String::from_utf8_lossy(&out.stderr).into_owned();
             assert!(!out.status.success() && told.contains("store: "), "{file_name} {args:?}: {told}");
         }
         assert_eq!(std::fs::read(&path).unwrap().len(), damage, "a refused store is not written to");
         std::fs::write(&path, whole).unwrap();
     }
-    let missing = file("missing", &section(&dir.join("nowhere"), ""));
-    let out = program(&["serve", "--operator", missing.to_str().unwrap()]);
+    let missing = temp_file("missing", &section(&dir.join("nowhere"), ""));
+    let out = run_program(&["serve", "--operator", missing.to_str().unwrap()]);
     let told = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(!out.status.success() && told.contains("no such directory"), "{told}");
-    let out = program(&["store", "compact", dir.to_str().unwrap()]);
+    let out = run_program(&["store", "compact", dir.to_str().unwrap()]);
     assert!(out.status.success(), "{out:?}");
 }
 
 #[test]
 fn a_front_starts_from_the_list_that_it_kept() {
     let dir = directory();
-    let mut world = World::with_rules(&[Behaviour::Serve, Behaviour::Serve], &section(&dir, ""));
+    let mut world = TestEnvironment::with_rules(&[Behaviour::Serve, Behaviour::Serve], &section(&dir, ""));
     let mut client = world.client();
-    assert!(client.ask(&common::get("a", "1.0")).unwrap().start().contains(" 200 "));
+    assert!(client.request(&common::get("a", "1.0")).unwrap().start().contains(" 200 "));
     // The opening is commit 1, and nothing else is written here but what the front knows.
-    common::until("the list is written down", || {
+    common::wait_until("the list is written down", || {
         let mark = std::fs::read(dir.join("mark")).unwrap_or_default();
         let commit =
             |at: usize| mark.get(at..at + 8).map_or(0, |b| u64::from_le_bytes(b.try_into().unwrap()));
         commit(32).max(commit(512 + 32)) >= 2
     });
     world.kill();
-    let out = program(&["store", "inspect", dir.to_str().unwrap()]);
+    let out = run_program(&["store", "inspect", dir.to_str().unwrap()]);
     assert!(String::from_utf8_lossy(&out.stdout).contains("a list of 2 machines"), "{out:?}");
     // It comes back with no list in its configuration.
     world.forget_list();
     world.restart();
-    assert!(world.client().ask(&common::get("b", "1.0")).unwrap().start().contains(" 200 "));
+    assert!(world.client().request(&common::get("b", "1.0")).unwrap().start().contains(" 200 "));
 }
--- a/crates/yarrowspoke-lab/src/scale/hollow.rs
+++ b/crates/yarrowspoke-lab/src/scale/hollow.rs
@@ -22,8 +22,8 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use yarrowspoke::interface::{Build, ListKind, MachineId, MachineState};
 use yarrowspoke_fleet::settings::{Fleet, Role};
-use yarrowspoke_front::input::{Input, ListNews, Row};
-use yarrowspoke_front::member::{self, Member};
+use yarrowspoke_front::fleet_member::{self, Member};
+use yarrowspoke_front::input::{Input, ListMessage, Row};
 use yarrowspoke_front::net::list::Discovery;
 use yarrowspoke_front::net::platform;
 use yarrowspoke_settings::Names;
@@ -130,14 +130,14 @@
         let reach = self.reach.borrow();
         let mean = self.rate * NOTE_EVERY.as_secs_f64();
         let Ok(counts) = Poisson::new(mean) else { return };
-        if reach.is_empty() || !self.member.takes() {
+        if reach.is_empty() || !self.member.accepts_requests() {
             return;
         }
         for _ in 0..counts.sample(draws) as u64 {
             let (machine, build) = reach[draws.gen_range(0..reach.len())];
-            self.member.taken();
-            if !self.member.leaves_out(machine, build) {
-                self.member.attempt(machine, build);
+            self.member.record_request();
+            if !self.member.excludes(machine, build) {
+                self.member.record_attempt(machine, build);
             }
         }
     }
@@ -167,7 +167,7 @@
     front.watch(&executor, &inputs);
     while let Ok(input) = taken.recv().await {
         match input {
-            Input::List(news) if news.kind.is_failure() => {
+            Input::ListUpdated(news) if news.kind.is_failure() => {
                 front.failed.set(front.failed.get() + 1);
                 let pause = ASK_AGAIN.mul_f64(1.0 + draws.gen::<f64>());
                 let (front, executor, inputs) = (Rc::clone(&front), Rc::clone(&executor), inputs.clone());
@@ -178,19 +178,19 @@
                 };
                 spawner.spawn(again).detach();
             }
-            Input::List(ListNews { kind, index, is_astray, rows, .. }) => {
-                front.discovery.hold(index, is_astray);
-                let rows = front.member.listed(kind, index, rows);
+            Input::ListUpdated(ListMessage { kind, index, needs_snapshot, rows, .. }) => {
+                front.discovery.hold(index, needs_snapshot);
+                let rows = front.member.apply_list(kind, index, rows);
                 front.take(kind, &rows);
                 front.listed.set(index);
             }
             Input::ListConfirmed(_, version) => front.discovery.hold(version, false),
-            Input::News(news) => drop(front.member.told(news)),
-            Input::Fleet => {
+            Input::RolloutStatus(news) => drop(front.member.apply_status(news)),
+            Input::RestrictionsChanged => {
                 front.take(ListKind::Delta, &front.member.changed_rows());
-                let _ = front.member.changed_news();
+                let _ = front.member.changed_status();
             }
-            Input::AskAgain => front.watch(&executor, &inputs),
+            Input::RefreshSources => front.watch(&executor, &inputs),
             _ => {}
         }
     }
@@ -211,7 +211,7 @@
 /// Starts one front; how it stands is to be read from what is given back.
 fn start(front: &Front, fleet: Fleet, executor: &Rc<LocalExecutor<'static>>, seed: u64) -> Rc<Running> {
     let discovery = Discovery::new(front.discovery, names(), 0, ASK_WITHIN);
-    let digests = member::digests(std::path::Path::new(""), Some(&front.operator));
+    let digests = fleet_member::digests(std::path::Path::new(""), Some(&front.operator));
     let member = Member::new(fleet, &front.name, digests, Rc::clone(&discovery), 0);
     let running = Rc::new(Running {
         member,
@@ -226,7 +226,7 @@
     });
     let (inputs, taken) = async_channel::bounded(INPUTS);
     executor.spawn(platform::listen(front.platform, inputs.clone())).detach();
-    member::start(&running.member, executor, &inputs);
+    fleet_member::start(&running.member, executor, &inputs);
     let draws = Pcg64Mcg::seed_from_u64(seed);
     executor.spawn(drive(Rc::clone(&running), Rc::clone(executor), (inputs, taken), draws)).detach();
     running
@@ -242,7 +242,7 @@
         peak_mb: now.peak_mb,
         at_ms: SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64),
         listed,
-        open: fronts.iter().filter(|f| f.member.takes()).count(),
+        open: fronts.iter().filter(|f| f.member.accepts_requests()).count(),
         failed: fronts.iter().map(|f| f.failed.get()).sum(),
     };
     let mut out = io::stdout().lock();
--- a/crates/yarrowspoke-lab/src/scale/incidents.rs
+++ b/crates/yarrowspoke-lab/src/scale/incidents.rs
@@ -405,7 +405,7 @@
             std::fs::write(&fresh, format!("(fleet\n  {fields}\n  (outbox {outbox})\n{}", &text[members..]))?;
             std::fs::rename(&fresh, &path)?;
             // Addresses have no part in it, so it is the same for all.
-            digest = yarrowspoke_front::member::digests(&PathBuf::new(), Some(&path)).1;
+            digest = yarrowspoke_front::fleet_member::digests(&PathBuf::new(), Some(&path)).1;
         }
         self.site.fronts.iter().for_each(|f| f.process.reload());
         Ok(digest)
--- a/crates/yarrowspoke-lab/src/scale/pure/agreed.rs
+++ b/crates/yarrowspoke-lab/src/scale/pure/agreed.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::path::Path;
 use yarrowspoke_fleet::agreed::{Entry, Order};
-use yarrowspoke_front::agree::{Agree, Logged};
+use yarrowspoke_front::agreed_log::{AgreedLog, LoggedEntry};
 
 /// Planners that agree.
 const NAMES: [&str; 3] = ["p0", "p1", "p2"];
@@ -35,8 +35,8 @@
 }
 
 /// Entries as the log holds them in memory.
-pub fn held(entries: &[Entry]) -> Vec<Logged> {
-    entries.iter().cloned().map(Logged).collect()
+pub fn held(entries: &[Entry]) -> Vec<LoggedEntry> {
+    entries.iter().cloned().map(LoggedEntry).collect()
 }
 
 /// Three planners agree on so many orders; bytes of one's journal, and nothing if they came to no end.
@@ -45,10 +45,10 @@
     let opened = NAMES.iter().map(|name| {
         let dir = dir.join(format!("agreed-{orders}-{name}"));
         std::fs::create_dir_all(&dir)?;
-        Agree::open(names.clone(), name, 1, Some(&dir), true)
+        AgreedLog::open(names.clone(), name, 1, Some(&dir), true)
             .map_err(|_| io::Error::other("an agreed log cannot be opened"))
     });
-    let mut all: Vec<Agree> = opened.collect::<io::Result<_>>()?;
+    let mut all: Vec<AgreedLog> = opened.collect::<io::Result<_>>()?;
     let (mut left, wanted) = (entries(orders).into_iter(), 4 * orders);
     let mut rounds = 0;
     while all[0].applied() < wanted {
@@ -59,12 +59,12 @@
         }
         for from in 0..all.len() {
             for to in 0..all.len() {
-                while let Some(batch) = (from != to).then(|| all[from].batch(NAMES[to])).flatten() {
-                    all[to].incoming(batch);
+                while let Some(batch) = (from != to).then(|| all[from].next_batch(NAMES[to])).flatten() {
+                    all[to].receive(batch);
                 }
             }
         }
-        all.iter_mut().for_each(Agree::tick);
+        all.iter_mut().for_each(AgreedLog::tick);
         rounds += 1;
         if rounds > PATIENCE {
             return Ok(None);
--- a/crates/yarrowspoke-lab/src/scale/pure/links.rs
+++ b/crates/yarrowspoke-lab/src/scale/pure/links.rs
@@ -286,11 +286,11 @@
 }
 
 /// The member's side of the running front, told a whole list.
-pub fn listed_member(rows: Vec<Row>) -> Rc<yarrowspoke_front::member::Member> {
+pub fn listed_member(rows: Vec<Row>) -> Rc<yarrowspoke_front::fleet_member::Member> {
     let discovery = Discovery::new(([127, 0, 0, 1], 9).into(), Names::default(), 0, 0);
     let fleet = fleet(target::FRONTS, target::PLANNERS);
-    let member = yarrowspoke_front::member::Member::new(fleet, "front-17", (1, 2, 3), discovery, 0);
-    member.listed(ListKind::Full, 41, rows);
+    let member = yarrowspoke_front::fleet_member::Member::new(fleet, "front-17", (1, 2, 3), discovery, 0);
+    member.apply_list(ListKind::Full, 41, rows);
     member
 }
 
@@ -459,7 +459,7 @@
             index += 1;
             let mut row = rows[index as usize % rows.len()].clone();
             row.entry.started = index;
-            1e6 * timed(|| member.listed(ListKind::Delta, index, vec![row])).0
+            1e6 * timed(|| member.apply_list(ListKind::Delta, index, vec![row])).0
         };
         let listed = median((0..9).map(|_| delta()).collect());
         let shown = median((0..9).map(|_| 1e6 * timed(|| member.changed_rows()).0).collect());
