--- a/crates/yarrowspoke-front/benches/store.rs
+++ b/crates/yarrowspoke-front/benches/store.rs
@@ -6,7 +6,7 @@
 #[path = "../tests/common/mod.rs"]
 mod common;
 
-use common::{connect, World};
+use common::{connect, TestEnvironment};
 use std::time::Instant;
 use yarrowspoke_toy::Behaviour;
 
@@ -22,7 +22,7 @@
 }
 
 /// Times of one kind of request, in microseconds, sorted, while the other kind goes on beside it.
-fn times(world: &World, round: &str) -> [Vec<f64>; 2] {
+fn times(world: &TestEnvironment, round: &str) -> [Vec<f64>; 2] {
     let listen = world.listen;
     let run = |what: &'static str| {
         let clients: Vec<_> = (0..CLIENTS)
@@ -34,7 +34,7 @@
                     for n in 0..EACH {
                         let begun = Instant::now();
                         let answer =
-                            line.ask(&ask(what, &format!("{round}-{what}-{c}-{n}"))).expect("an answer");
+                            line.request(&ask(what, &format!("{round}-{what}-{c}-{n}"))).expect("an answer");
                         assert!(answer.start().contains(" 200 "), "{answer:?}");
                         out.push(begun.elapsed().as_secs_f64() * 1e6);
                     }
@@ -53,7 +53,7 @@
     })
 }
 
-fn of(world: &World, name: &str) -> u64 {
+fn of(world: &TestEnvironment, name: &str) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", world.front.id())).unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with(name)).unwrap_or("");
     line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or(0)
@@ -64,7 +64,8 @@
     std::fs::create_dir_all(&dir).expect("a directory");
     let section = format!("(store (directory \"{}\") (delay 0) (bytes 100000000))", dir.display());
     for (name, operator) in [("off", ""), ("on", section.as_str())] {
-        let world = World::with_rules(&[Behaviour::Serve, Behaviour::Serve, Behaviour::Serve], operator);
+        let world =
+            TestEnvironment::with_rules(&[Behaviour::Serve, Behaviour::Serve, Behaviour::Serve], operator);
         let [comments, articles] = times(&world, name);
         let at = |all: &[f64], p: f64| all[((all.len() as f64 * p) as usize).min(all.len() - 1)];
         let descriptors =
--- a/crates/yarrowspoke-front/src/ledger_writer.rs
+++ b/crates/yarrowspoke-front/src/ledger_writer.rs
@@ -185,7 +185,7 @@
         }
         let lines = self.rows.borrow().values().map(|r| line(r, names)).collect();
         let news = self.news.borrow().clone();
-        let known = Known { at: now, deployment: deployment_key(names), index: 0, lines, news };
+        let known = Known { at: now, deployment: deployment(names), index: 0, lines, news };
         if on.hand.give(Op::Snapshot(known)).is_ok() {
             self.changed.set(false);
             self.snapshot_at.set(now);
@@ -222,7 +222,7 @@
 const PHASES: [Phase; 4] = [Phase::Trial, Phase::GoingBack, Phase::Released, Phase::Withdrawn];
 
 /// What a deployment's names come to, so that a snapshot of another one is known as such.
-pub fn deployment_key(names: &Names) -> String {
+pub fn deployment(names: &Names) -> String {
     [&names.classes, &names.zones, &names.kinds, &names.tenants].map(|n| n.join(",")).join(";")
 }
 
--- a/crates/yarrowspoke-front/src/run.rs
+++ b/crates/yarrowspoke-front/src/run.rs
@@ -128,7 +128,7 @@
     let bounds = Bounds { fresh: settings.fresh, stale: settings.stale, ahead: CLOCKS_APART };
     let rows = match store.known().map_err(io::Error::other)? {
         None => None,
-        Some(known) => match trust(&known, now, &ledger_writer::deployment_key(names), 0, &bounds) {
+        Some(known) => match trust(&known, now, &ledger_writer::deployment(names), 0, &bounds) {
             Trust::None(why) => {
                 log::warn!("store: the list kept is not used: {why}");
                 None
