--- a/crates/yarrowspoke-front/tests/bounds.rs
+++ b/crates/yarrowspoke-front/tests/bounds.rs
@@ -91,9 +91,9 @@
             tenant: 0,
             budget: 3_600_000_000,
             key: 0,
-            hint: None,
-            repeat: false,
-            ruled: Default::default(),
+            work_hint: None,
+            is_retry: false,
+            policy: Default::default(),
             body: Vec::new(),
         };
         let exchange = hub.open_exchange(call, 0);
