--- a/crates/yarrowspoke-front/src/descriptor_budget.rs
+++ b/crates/yarrowspoke-front/src/descriptor_budget.rs
@@ -1,14 +1,16 @@
-//! Descriptors: one budget for both sides, counted as they are taken and given back.
+//! File descriptors and body memory: one budget each, shared by client and machine connections.
+//!
+//! A resource is counted when it is taken and returned to its budget when its guard is dropped.
 
 use async_channel::{Receiver, Sender};
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts its holder for as long as it lives.
+/// Adds one to a counter for as long as it lives.
 pub struct CountGuard(Rc<Cell<usize>>);
 
 impl CountGuard {
-    /// Counts one more.
+    /// Increments `count` until the guard is dropped.
     pub fn new(count: &Rc<Cell<usize>>) -> Self {
         count.set(count.get() + 1);
         Self(Rc::clone(count))
@@ -21,163 +23,165 @@
     }
 }
 
-/// A descriptor held; its end is told to whoever waits for one.
+/// A descriptor taken from the budget. Dropping it wakes a task that waits for one.
 pub struct Descriptor {
-    counted: Option<CountGuard>,
-    wait_for_release: Sender<()>,
+    guard: Option<CountGuard>,
+    released: Sender<()>,
 }
 
 impl Drop for Descriptor {
     fn drop(&mut self) {
-        self.counted = None;
-        let _ = self.wait_for_release.try_send(());
+        self.guard = None;
+        let _ = self.released.try_send(());
     }
 }
 
-/// The budget. Danger: with fixed halves one side runs out while the other has plenty; with none a rush of
-/// clients leaves no connection on which to serve them. So each side has a most, and both have a sum.
+/// The descriptors that client and machine connections share.
+///
+/// Each side has a limit, and both together have a total. With two fixed halves, one side runs out while the other
+/// has descriptors to spare; without limits, a burst of clients leaves no connection to a machine on which to serve them.
 pub struct DescriptorBudget {
     total: usize,
-    most_clients: usize,
-    most_machines: usize,
+    max_clients: usize,
+    max_machines: usize,
     clients: Rc<Cell<usize>>,
     machines: Rc<Cell<usize>>,
-    wait_for_release: (Sender<()>, Receiver<()>),
-    /// Connections that have brought nothing yet, and those between two requests.
-    yields: [Yields; 2],
+    released: (Sender<()>, Receiver<()>),
+    /// Idle client connections: those that have sent nothing yet, and those between two requests.
+    idle: [IdleGroup; 2],
 }
 
-/// Connections of one sort that are ready to end, the longest idle first.
-struct Yields {
-    ready: Rc<Cell<usize>>,
-    ask: (Sender<()>, Receiver<()>),
+/// Idle connections of one group that can be closed, the longest idle first.
+struct IdleGroup {
+    closable: Rc<Cell<usize>>,
+    close_request: (Sender<()>, Receiver<()>),
 }
 
-impl Yields {
+impl IdleGroup {
     fn new() -> Self {
-        Self { ready: Rc::default(), ask: async_channel::bounded(1) }
+        Self { closable: Rc::default(), close_request: async_channel::bounded(1) }
     }
 }
 
 impl DescriptorBudget {
-    /// A budget of `total` descriptors. Refusals need a client's place only, so there are more of those.
+    /// Creates a budget of `total` descriptors. Refusing a request takes only the client's descriptor, so the client side
+    /// has the higher limit.
     pub fn new(total: usize) -> Rc<Self> {
         let total = total.max(10);
         Rc::new(Self {
             total,
-            most_clients: total * 7 / 10,
-            most_machines: total * 4 / 10,
+            max_clients: total * 7 / 10,
+            max_machines: total * 4 / 10,
             clients: Rc::default(),
             machines: Rc::default(),
-            wait_for_release: async_channel::bounded(1),
-            yields: [Yields::new(), Yields::new()],
+            released: async_channel::bounded(1),
+            idle: [IdleGroup::new(), IdleGroup::new()],
         })
     }
 
-    /// Client and machine connections now held.
+    /// Returns how many descriptors client connections and machine connections hold.
     pub fn in_use(&self) -> (usize, usize) {
         (self.clients.get(), self.machines.get())
     }
 
-    /// The most of each.
+    /// Returns the limits of client connections and of machine connections.
     pub fn limits(&self) -> (usize, usize) {
-        (self.most_clients, self.most_machines)
+        (self.max_clients, self.max_machines)
     }
 
     fn used(&self) -> usize {
         self.clients.get() + self.machines.get()
     }
 
-    /// Whether everything is in use.
+    /// Returns whether all descriptors are in use.
     pub fn is_full(&self) -> bool {
         self.used() >= self.total
     }
 
-    /// Whether idle client connections should yield: before new ones must wait, and before clients run out of
-    /// those that they may hold. Danger: clients may hold a third of a front's descriptors, and where some ask
-    /// once and keep theirs, the others find none left on which to ask.
+    /// Returns whether idle client connections should be closed. This holds before new connections have to wait and
+    /// before the clients reach their own limit. Clients can hold a third of a front's descriptors: where some send one
+    /// request and keep their connections open, no descriptor is left on which the others can send theirs.
     pub fn is_running_low(&self) -> bool {
         self.clients.get() >= self.total * 3 / 10 || self.used() >= self.total * 19 / 20
     }
 
-    fn place(&self, count: &Rc<Cell<usize>>) -> Descriptor {
-        Descriptor {
-            counted: Some(CountGuard::new(count)),
-            wait_for_release: self.wait_for_release.0.clone(),
-        }
+    fn take(&self, count: &Rc<Cell<usize>>) -> Descriptor {
+        Descriptor { guard: Some(CountGuard::new(count)), released: self.released.0.clone() }
     }
 
-    /// Whether one more client connection may be accepted.
+    /// Returns whether one more client connection may be accepted.
     pub fn can_accept_client(&self) -> bool {
-        self.clients.get() < self.most_clients && !self.is_full()
+        self.clients.get() < self.max_clients && !self.is_full()
     }
 
-    /// A place for a client connection that was accepted.
+    /// Takes a descriptor for an accepted client connection.
     pub fn take_for_client(&self) -> Descriptor {
-        self.place(&self.clients)
+        self.take(&self.clients)
     }
 
-    /// A place for a connection to a machine, if there is one.
+    /// Takes a descriptor for a connection to a machine, if one is left.
     pub fn take_for_machine(&self) -> Option<Descriptor> {
-        let fits = self.machines.get() < self.most_machines && !self.is_full();
-        fits.then(|| self.place(&self.machines))
+        let fits = self.machines.get() < self.max_machines && !self.is_full();
+        fits.then(|| self.take(&self.machines))
     }
 
-    /// Waits until some place has been given back.
+    /// Waits until a descriptor has been released.
     pub async fn wait_for_release(&self) {
-        let _ = self.wait_for_release.1.recv().await;
+        let _ = self.released.1.recv().await;
     }
 
-    /// Asks one client connection of each sort to end that is ready to, the longest idle first.
+    /// Requests that one idle client connection of each group closes, the longest idle first.
     pub fn request_idle_close(&self) {
-        for yields in self.yields.iter().filter(|y| y.ready.get() > 0) {
-            let _ = yields.ask.0.try_send(());
+        for group in self.idle.iter().filter(|g| g.closable.get() > 0) {
+            let _ = group.close_request.0.try_send(());
         }
     }
 
-    /// Ready to end from now on, waits until asked to; `fresh` says that this connection has brought nothing yet.
+    /// Marks an idle connection as closable and waits until it is requested to close. `fresh` says that it has sent nothing
+    /// yet.
     pub async fn idle_close_requested(&self, fresh: bool) {
-        let yields = &self.yields[usize::from(!fresh)];
-        let _ready = CountGuard::new(&yields.ready);
-        let _ = yields.ask.1.recv().await;
+        let group = &self.idle[usize::from(!fresh)];
+        let _closable = CountGuard::new(&group.closable);
+        let _ = group.close_request.1.recv().await;
     }
 
-    /// Takes back what was asked.
+    /// Withdraws close requests that no connection has received yet.
     pub fn clear_close_requests(&self) {
-        for yields in &self.yields {
-            let _ = yields.ask.1.try_recv();
+        for group in &self.idle {
+            let _ = group.close_request.1.try_recv();
         }
     }
 }
 
-/// Memory for large bodies, taken before they are read and given back by dropping the room. Danger: bodies are
-/// bounded one by one, but a few hundred of them together are more than a small front has.
+/// Memory for large request bodies, reserved before a body is read and released when the reservation is dropped.
+///
+/// Each body is bounded by itself, but a few hundred of them together exceed the memory of a small front.
 pub struct BodyMemory {
-    left: Rc<Cell<usize>>,
+    available: Rc<Cell<usize>>,
 }
 
-/// Bytes held in a store.
+/// Bytes reserved from a [`BodyMemory`].
 pub struct BodyReservation {
-    left: Rc<Cell<usize>>,
+    available: Rc<Cell<usize>>,
     size: usize,
 }
 
 impl BodyMemory {
-    /// A store of `size` bytes.
+    /// Creates a budget of `size` bytes.
     pub fn new(size: usize) -> Self {
-        Self { left: Rc::new(Cell::new(size)) }
+        Self { available: Rc::new(Cell::new(size)) }
     }
 
-    /// Room for `size` bytes, if there is some.
+    /// Reserves `size` bytes, if that many are available.
     pub fn reserve(&self, size: usize) -> Option<BodyReservation> {
-        let rest = self.left.get().checked_sub(size)?;
-        self.left.set(rest);
-        Some(BodyReservation { left: Rc::clone(&self.left), size })
+        let rest = self.available.get().checked_sub(size)?;
+        self.available.set(rest);
+        Some(BodyReservation { available: Rc::clone(&self.available), size })
     }
 }
 
 impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.left.set(self.left.get() + self.size);
+        self.available.set(self.available.get() + self.size);
     }
 }
