--- a/crates/yarrowspoke-front/src/event_bus.rs
+++ b/crates/yarrowspoke-front/src/event_bus.rs
@@ -1,4 +1,4 @@
-//! What all client connections share with the driver.
+//! State that client connections share with the driver, and the channel on which they send it events.
 
 use crate::classify::Classifier;
 use crate::descriptor_budget::{BodyMemory, DescriptorBudget};
@@ -12,54 +12,55 @@
 use yarrowspoke::interface::{Micros, RequestId};
 use yarrowspoke_settings::{Names, Settings};
 
-/// Inputs that may wait for the driver; who brings more waits himself.
+/// Inputs that may be queued for the driver; a sender waits while the queue is full.
 const INPUT_LIMIT: usize = 4_096;
 
-/// What all client connections share with the driver.
+/// State that client connections share with the driver.
 pub struct EventBus {
-    /// The clock.
+    /// Clock of this front.
     pub clock: Clock,
-    /// Where inputs go.
+    /// Sends inputs to the driver.
     pub inputs: Sender<Input>,
-    /// Names behind positions.
+    /// Names of classes, tenants, zones and kinds; elsewhere these are positions in the settings.
     pub names: Names,
-    /// What the protocol ties to each class.
+    /// Deadline and method of each class.
     pub classes: Vec<ClassProtocol>,
-    /// The operators' rules.
+    /// Operators' rules in force.
     pub classifier: Rc<Classifier>,
-    /// The store.
+    /// Ledger of requests that must not run twice.
     pub ledger_writer: LedgerWriter,
-    /// This front as a member of a fleet, if it is one.
+    /// This front as a member of a fleet; `None` if it runs alone.
     pub member: Option<Rc<Member>>,
-    /// Ids of calls.
+    /// Call ids in use or answered recently.
     pub call_ids: CallIds,
-    /// Room for large bodies.
+    /// Memory for large bodies.
     pub body_memory: BodyMemory,
-    /// The driver serves.
+    /// Whether the driver is ready to serve requests.
     pub ready: Cell<bool>,
-    /// Descriptors.
+    /// Budget of file descriptors.
     pub descriptors: Rc<DescriptorBudget>,
-    /// Longest wait for a new connection's first bytes since it was last told.
+    /// Longest wait for the first bytes of a new connection since the last report.
     pub max_first_byte_wait: Cell<Micros>,
-    /// Client connections that have brought no request yet, and those between two requests.
+    /// Numbers of idle client connections: those that have sent no request yet, and those between two requests.
     pub idle_clients: [Rc<Cell<usize>>; 2],
     next_id: Cell<RequestId>,
-    bad: Cell<u64>,
+    malformed: Cell<u64>,
     stop: (Sender<()>, Receiver<()>),
 }
 
 impl EventBus {
-    /// A hub, and where its inputs come out; large bodies together hold `bodies` bytes at most.
+    /// Creates an event bus and returns it with the receiver of its inputs. Large bodies together hold at most
+    /// `body_bytes` bytes.
     pub fn new(
         settings: &Settings,
         descriptors: Rc<DescriptorBudget>,
-        bodies: usize,
+        body_bytes: usize,
         classifier: Rc<Classifier>,
         ledger_writer: LedgerWriter,
         member: Option<Rc<Member>>,
     ) -> (Rc<Self>, Receiver<Input>) {
         let (inputs, receiver) = async_channel::bounded(INPUT_LIMIT);
-        let hub = Self {
+        let event_bus = Self {
             clock: Clock::start(),
             inputs,
             names: settings.names.clone(),
@@ -68,47 +69,48 @@
             ledger_writer,
             member,
             call_ids: CallIds::default(),
-            body_memory: BodyMemory::new(bodies),
+            body_memory: BodyMemory::new(body_bytes),
             ready: Cell::new(false),
             descriptors,
             max_first_byte_wait: Cell::new(0),
             idle_clients: Default::default(),
             next_id: Cell::new(1),
-            bad: Cell::new(0),
+            malformed: Cell::new(0),
             stop: async_channel::bounded(1),
         };
-        (Rc::new(hub), receiver)
+        (Rc::new(event_bus), receiver)
     }
 
-    /// Whether this front's place in its fleet lets it take a new request; one by itself always may.
+    /// Returns whether this front may accept a new request. A front outside a fleet always may; a member of one only as
+    /// far as the planners allow.
     pub fn accepts_requests(&self) -> bool {
         self.member.as_ref().is_none_or(|m| m.accepts_requests())
     }
 
-    /// Begins the stop: what is there and what still comes is served, then connections end.
+    /// Begins the shutdown: requests in flight and those that still arrive are served, then connections close.
     pub fn begin_stop(&self) {
         self.stop.0.close();
     }
 
-    /// Whether the stop has begun.
+    /// Returns whether the shutdown has begun.
     pub fn is_stopping(&self) -> bool {
         self.stop.0.is_closed()
     }
 
-    /// Waits for the stop to begin.
+    /// Waits for the shutdown to begin.
     pub async fn stop_begun(&self) {
         let _ = self.stop.1.recv().await;
     }
 
-    /// Counts a request that could not be read or is none.
+    /// Counts a request that could not be parsed or is not a valid call.
     pub fn count_malformed(&self) {
-        self.bad.set(self.bad.get() + 1);
+        self.malformed.set(self.malformed.get() + 1);
     }
 
-    /// A request just read, which came `aged` before.
-    pub fn open_exchange(&self, call: Call, aged: Micros) -> Rc<Exchange> {
+    /// Registers a request that was just read and that arrived `waited` microseconds earlier.
+    pub fn open_exchange(&self, call: Call, waited: Micros) -> Rc<Exchange> {
         let id = self.next_id.get();
         self.next_id.set(id + 1);
-        Exchange::new(id, call, self.clock.now().saturating_sub(aged))
+        Exchange::new(id, call, self.clock.now().saturating_sub(waited))
     }
 }
