--- a/crates/yarrowspoke-front/src/lib.rs
+++ b/crates/yarrowspoke-front/src/lib.rs
@@ -1,4 +1,4 @@
-//! The real front as a library, so that its parts can be tested without a process.
+//! The front as a library, so that its parts can be tested without starting a process.
 
 pub mod agreed_log;
 pub mod check;
