--- a/crates/yarrowspoke-front/src/agreed_log.rs
+++ b/crates/yarrowspoke-front/src/agreed_log.rs
@@ -1,4 +1,5 @@
-//! The agreed log of the planners: omnipaxos over the fleet's links, its state on a journal that is synced before any promise.
+//! The replicated log of the planners: omnipaxos over the fleet's links. Its state is kept in a journal that is synced
+//! before the planner sends any promise.
 
 use omnipaxos::ballot_leader_election::Ballot;
 use omnipaxos::messages::Message;
@@ -12,13 +13,14 @@
 use yarrowspoke_fleet::agreed::{Agreed, Entry};
 use yarrowspoke_store::journal::Journal;
 
-/// Ticks between two rounds of heartbeats, and between two times that something lost is sent again.
+/// Ticks between two rounds of election heartbeats.
 const ELECTION_TICKS: u64 = 4;
+/// Ticks after which a lost message is sent again.
 const RESEND_TICKS: u64 = 10;
-/// Most messages of one batch.
-const BATCH: usize = 64;
+/// Maximum number of messages in one batch.
+const MAX_BATCH_MESSAGES: usize = 64;
 
-/// An entry as the log holds it.
+/// An entry in the form that omnipaxos stores and replicates.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct LoggedEntry(pub Entry);
 
@@ -26,7 +28,7 @@
     type Snapshot = NoSnapshot;
 }
 
-/// What the journal holds: operations, those of one append all or none.
+/// A storage operation as recorded in the journal. The operations of one append are recorded all or none.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 enum Op {
     Append(Vec<LoggedEntry>),
@@ -37,8 +39,8 @@
     Stop(Option<StopSign>),
 }
 
-/// The log on its journal.
-struct Log {
+/// Storage of the replicated log: its state in memory, and the journal that makes it durable.
+struct JournaledLog {
     journal: Option<Journal>,
     entries: Vec<LoggedEntry>,
     promise: Option<Ballot>,
@@ -47,17 +49,17 @@
     stop: Option<StopSign>,
 }
 
-impl Log {
+impl JournaledLog {
     fn open(path: Option<&Path>) -> io::Result<(Self, bool)> {
-        let (journal, held) = match path.map(Journal::open::<Vec<Op>>) {
-            Some(opened) => opened.map(|(j, held)| (Some(j), held))?,
+        let (journal, recorded) = match path.map(Journal::open::<Vec<Op>>) {
+            Some(opened) => opened.map(|(j, recorded)| (Some(j), recorded))?,
             None => (None, vec![]),
         };
         let (entries, promise, accepted, decided, stop) = (vec![], None, None, 0, None);
         let mut log = Self { journal, entries, promise, accepted, decided, stop };
-        let fresh = held.is_empty();
-        held.into_iter().flatten().for_each(|op| log.apply(op));
-        Ok((log, fresh))
+        let is_empty = recorded.is_empty();
+        recorded.into_iter().flatten().for_each(|op| log.apply(op));
+        Ok((log, is_empty))
     }
 
     fn apply(&mut self, op: Op) {
@@ -74,12 +76,14 @@
         }
     }
 
-    fn keep(&mut self, ops: Vec<Op>) -> StorageResult<()> {
+    fn persist(&mut self, ops: Vec<Op>) -> StorageResult<()> {
         if let Some(journal) = &mut self.journal {
             if let Err(e) = journal.append(std::slice::from_ref(&ops)) {
-                // Danger: nobody knows what is on disk now, and the library has no way to be told. Nothing may be promised
-                // any more, so this planner ends; the others go on.
-                eprintln!("yarrowspoke: the agreed log is not kept: {e}");
+                // What is on disk is unknown now, and the library has no way to take an error here. This planner must not
+                // send any further promise, so the process exits; the other planners continue.
+                eprintln!(
+                    "yarrowspoke: the replicated log could not be written to disk; this planner exits: {e}"
+                );
                 std::process::exit(1);
             }
         }
@@ -88,7 +92,7 @@
     }
 }
 
-impl Storage<LoggedEntry> for Log {
+impl Storage<LoggedEntry> for JournaledLog {
     fn write_atomically(&mut self, ops: Vec<StorageOp<LoggedEntry>>) -> StorageResult<()> {
         let op = |op| match op {
             StorageOp::AppendEntry(e) => Some(Op::Append(vec![e])),
@@ -98,30 +102,30 @@
             StorageOp::SetAcceptedRound(b) => Some(Op::Accepted(b)),
             StorageOp::SetDecidedIndex(n) => Some(Op::Decided(n as u64)),
             StorageOp::SetStopsign(s) => Some(Op::Stop(s)),
-            // Nothing is trimmed or put into snapshots here.
+            // This log is neither trimmed nor compacted into snapshots.
             StorageOp::SetCompactedIdx(_) | StorageOp::Trim(_) | StorageOp::SetSnapshot(_) => None,
         };
-        self.keep(ops.into_iter().filter_map(op).collect())
+        self.persist(ops.into_iter().filter_map(op).collect())
     }
 
     fn append_entry(&mut self, entry: LoggedEntry) -> StorageResult<()> {
-        self.keep(vec![Op::Append(vec![entry])])
+        self.persist(vec![Op::Append(vec![entry])])
     }
 
     fn append_entries(&mut self, entries: Vec<LoggedEntry>) -> StorageResult<()> {
-        self.keep(vec![Op::Append(entries)])
+        self.persist(vec![Op::Append(entries)])
     }
 
     fn append_on_prefix(&mut self, from_idx: usize, entries: Vec<LoggedEntry>) -> StorageResult<()> {
-        self.keep(vec![Op::OnPrefix(from_idx as u64, entries)])
+        self.persist(vec![Op::OnPrefix(from_idx as u64, entries)])
     }
 
     fn set_promise(&mut self, n_prom: Ballot) -> StorageResult<()> {
-        self.keep(vec![Op::Promise(n_prom)])
+        self.persist(vec![Op::Promise(n_prom)])
     }
 
     fn set_decided_idx(&mut self, ld: usize) -> StorageResult<()> {
-        self.keep(vec![Op::Decided(ld as u64)])
+        self.persist(vec![Op::Decided(ld as u64)])
     }
 
     fn get_decided_idx(&self) -> StorageResult<usize> {
@@ -129,7 +133,7 @@
     }
 
     fn set_accepted_round(&mut self, na: Ballot) -> StorageResult<()> {
-        self.keep(vec![Op::Accepted(na)])
+        self.persist(vec![Op::Accepted(na)])
     }
 
     fn get_accepted_round(&self) -> StorageResult<Option<Ballot>> {
@@ -153,7 +157,7 @@
     }
 
     fn set_stopsign(&mut self, s: Option<StopSign>) -> StorageResult<()> {
-        self.keep(vec![Op::Stop(s)])
+        self.persist(vec![Op::Stop(s)])
     }
 
     fn get_stopsign(&self) -> StorageResult<Option<StopSign>> {
@@ -181,45 +185,46 @@
     }
 }
 
-/// Messages from one planner to another, in order: a batch that comes late, behind a younger one, is dropped.
+/// Messages from one planner to another, in order. A batch that arrives after a later one is dropped.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct MessageBatch {
-    /// Who sends.
+    /// Name of the sending planner.
     pub from: String,
-    /// Which incarnation of it.
+    /// Incarnation of the sender.
     pub incarnation: u64,
-    /// Number of the batch in that incarnation, to this planner.
+    /// Sequence number of the batch among those that this incarnation sent to this planner.
     pub number: u64,
     messages: Vec<Message<LoggedEntry>>,
 }
 
-/// The agreement, as one planner takes part in it.
+/// One planner's replica of the log.
 pub struct AgreedLog {
-    paxos: OmniPaxos<LoggedEntry, Log>,
-    /// The state agreed on, as far as it is known here.
+    paxos: OmniPaxos<LoggedEntry, JournaledLog>,
+    /// State built from the entries that are decided, as far as this replica knows them.
     pub state: Agreed,
     applied: usize,
     names: Vec<String>,
     name: String,
     incarnation: u64,
-    out: BTreeMap<String, Vec<Message<LoggedEntry>>>,
-    sent: BTreeMap<String, u64>,
-    came: BTreeMap<String, (u64, u64)>,
-    /// Batches to these were lost: what came between has to be told anew.
-    broken: BTreeMap<String, bool>,
+    outgoing: BTreeMap<String, Vec<Message<LoggedEntry>>>,
+    last_sent: BTreeMap<String, u64>,
+    last_received: BTreeMap<String, (u64, u64)>,
+    /// Whether a batch to this planner was lost, so that the messages since then have to be sent again.
+    has_lost_batch: BTreeMap<String, bool>,
 }
 
-/// Why a planner does not take part.
+/// Why a planner cannot join the replicated log.
 pub enum JoinError {
-    /// Its journal cannot be used.
+    /// Its journal cannot be opened or read.
     Io(io::Error),
-    /// It remembers nothing, and was not said to be new. Danger: it may have promised something that it does not know any
-    /// more, and a majority that counts on it would decide against what was decided.
+    /// Its journal is empty, and it was not started as a new planner. It may have sent promises that it no longer knows of;
+    /// a quorum that includes it could then decide against what has been decided.
     LostState,
 }
 
 impl AgreedLog {
-    /// Takes part under this name, by the journal in a directory; `found` says that it never took part before.
+    /// Joins the replicated log under this name, with the journal in `dir`. `found` says that this planner never took part
+    /// before.
     pub fn open(
         names: Vec<String>,
         name: &str,
@@ -228,8 +233,8 @@
         found: bool,
     ) -> Result<Self, JoinError> {
         let path = dir.map(|d| d.join("agreed"));
-        let (log, fresh) = Log::open(path.as_deref()).map_err(JoinError::Io)?;
-        if fresh && !found {
+        let (log, is_empty) = JournaledLog::open(path.as_deref()).map_err(JoinError::Io)?;
+        if is_empty && !found {
             return Err(JoinError::LostState);
         }
         let pid = |n: &String| names.iter().position(|m| m == n).map_or(0, |p| p as u64 + 1);
@@ -245,46 +250,46 @@
         };
         let paxos = config.build(log).map_err(|e| JoinError::Io(io::Error::other(e.to_string())))?;
         let empty = BTreeMap::new;
-        let mut agree = Self {
+        let mut agreed_log = Self {
             paxos,
             state: Agreed::default(),
             applied: 0,
             names,
             name: name.to_owned(),
             incarnation,
-            out: BTreeMap::new(),
-            sent: empty(),
-            came: BTreeMap::new(),
-            broken: BTreeMap::new(),
+            outgoing: BTreeMap::new(),
+            last_sent: empty(),
+            last_received: BTreeMap::new(),
+            has_lost_batch: BTreeMap::new(),
         };
-        agree.learn();
-        Ok(agree)
+        agreed_log.apply_decided();
+        Ok(agreed_log)
     }
 
     fn pid(&self, name: &str) -> Option<u64> {
         self.names.iter().position(|n| n == name).map(|p| p as u64 + 1)
     }
 
-    /// Time goes on by a tick.
+    /// Advances the timers of elections and resends by one tick.
     pub fn tick(&mut self) {
         self.paxos.tick();
-        self.gather();
-        self.learn();
+        self.collect_outgoing();
+        self.apply_decided();
     }
 
-    fn gather(&mut self) {
+    fn collect_outgoing(&mut self) {
         let mut all = Vec::new();
         self.paxos.take_outgoing_messages(&mut all);
         for message in all {
             let to = message.get_receiver();
             if let Some(name) = self.names.get(to as usize - 1) {
-                self.out.entry(name.clone()).or_default().push(message);
+                self.outgoing.entry(name.clone()).or_default().push(message);
             }
         }
     }
 
-    /// Applies what has been decided.
-    fn learn(&mut self) {
+    /// Applies the entries that have been decided since the last call.
+    fn apply_decided(&mut self) {
         let decided = self.paxos.get_decided_idx();
         if decided <= self.applied {
             return;
@@ -297,19 +302,20 @@
         self.applied = decided;
     }
 
-    /// Proposes an entry. It may be lost: whoever proposes looks whether it came about, and proposes again.
+    /// Proposes an entry. A proposal may be lost: the caller checks whether the entry has been decided and proposes it
+    /// again if not.
     pub fn propose(&mut self, entry: Entry) {
         if self.paxos.append(LoggedEntry(entry)).is_err() {
-            log::warn!("fleet: an entry could not be proposed");
+            log::warn!("fleet: an entry could not be proposed to the replicated log");
         }
-        self.gather();
+        self.collect_outgoing();
     }
 
-    /// The next batch to a planner, if there is anything to say.
+    /// Returns the next batch for a planner, if messages to it are queued.
     pub fn next_batch(&mut self, to: &str) -> Option<MessageBatch> {
-        let waiting = self.out.get_mut(to).filter(|w| !w.is_empty())?;
-        let messages: Vec<_> = waiting.drain(..waiting.len().min(BATCH)).collect();
-        let number = self.sent.entry(to.to_owned()).or_default();
+        let queued = self.outgoing.get_mut(to).filter(|q| !q.is_empty())?;
+        let messages: Vec<_> = queued.drain(..queued.len().min(MAX_BATCH_MESSAGES)).collect();
+        let number = self.last_sent.entry(to.to_owned()).or_default();
         *number += 1;
         Some(MessageBatch {
             from: self.name.clone(),
@@ -319,47 +325,47 @@
         })
     }
 
-    /// How a batch went. After one that was lost, the next that arrives begins a session anew.
-    pub fn batch_sent(&mut self, to: &str, arrived: bool) {
-        let broken = self.broken.entry(to.to_owned()).or_default();
-        if !arrived {
-            *broken = true;
-        } else if std::mem::take(broken) {
+    /// Records whether a batch was delivered. After a lost batch, the next one that is delivered starts a new session.
+    pub fn batch_sent(&mut self, to: &str, is_delivered: bool) {
+        let has_lost_batch = self.has_lost_batch.entry(to.to_owned()).or_default();
+        if !is_delivered {
+            *has_lost_batch = true;
+        } else if std::mem::take(has_lost_batch) {
             if let Some(pid) = self.pid(to) {
                 self.paxos.reconnected(pid);
-                self.gather();
+                self.collect_outgoing();
             }
         }
     }
 
-    /// A batch has come.
+    /// Handles a batch from another planner.
     pub fn receive(&mut self, batch: MessageBatch) {
         let Some(pid) = self.pid(&batch.from) else { return };
-        let (incarnation, number) = self.came.get(&batch.from).copied().unwrap_or((0, 0));
+        let (incarnation, number) = self.last_received.get(&batch.from).copied().unwrap_or((0, 0));
         if batch.incarnation < incarnation || batch.incarnation == incarnation && batch.number <= number {
             return;
         }
-        self.came.insert(batch.from.clone(), (batch.incarnation, batch.number));
+        self.last_received.insert(batch.from.clone(), (batch.incarnation, batch.number));
         if (batch.incarnation, batch.number) != (incarnation, number + 1) && (incarnation, number) != (0, 0) {
             self.paxos.reconnected(pid);
         }
         batch.messages.into_iter().for_each(|m| self.paxos.handle_incoming(m));
-        self.gather();
-        self.learn();
+        self.collect_outgoing();
+        self.apply_decided();
     }
 
-    /// This planner's name.
+    /// Returns this planner's name.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Who leads, as far as is known here.
+    /// Returns the name of the leader, as far as this replica knows it.
     pub fn leader(&self) -> Option<&str> {
         let (pid, _) = self.paxos.get_current_leader()?;
         self.names.get(pid as usize - 1).map(String::as_str)
     }
 
-    /// Entries applied.
+    /// Returns how many entries have been applied.
     pub fn applied(&self) -> usize {
         self.applied
     }
