--- a/crates/yarrowspoke-front/src/fleet_commands.rs
+++ b/crates/yarrowspoke-front/src/fleet_commands.rs
@@ -1,4 +1,4 @@
-//! `yarrowspoke fleet`: what a planner, or its directory, knows of a fleet.
+//! `yarrowspoke fleet`: queries a planner or its directory about a fleet, and sends orders to a planner.
 
 use crate::cli::{CommandOutput, OrderArgs, RecordFilter, RecordSource};
 use crate::net::fleet::exchange;
@@ -9,77 +9,81 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use yarrowspoke_fleet::audit::{audit as draw, Asked, Audit};
+use yarrowspoke_fleet::audit::{audit as audit_log, Asked, Audit};
 use yarrowspoke_fleet::version::Version;
 
 /// How long a planner may take to answer an operator.
-const PATIENCE: Duration = Duration::from_secs(10);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 
-fn told(done: Result<String, String>) -> CommandOutput {
-    match done {
+fn output(result: Result<String, String>) -> CommandOutput {
+    match result {
         Ok(text) => CommandOutput { text, success: true },
         Err(text) => CommandOutput { text: format!("{text}\n"), success: false },
     }
 }
 
-fn get(at: SocketAddr, target: &str) -> Result<Vec<u8>, String> {
-    let (mut line, named) = (None, |e: &dyn ToString| format!("{at}: {}", e.to_string()));
-    let asked = within(PATIENCE, exchange(&mut line, at, ("GET", target), b""));
-    match async_io::block_on(asked) {
+fn get(address: SocketAddr, target: &str) -> Result<Vec<u8>, String> {
+    let (mut connection, named) = (None, |e: &dyn ToString| format!("{address}: {}", e.to_string()));
+    let call = within(ANSWER_TIMEOUT, exchange(&mut connection, address, ("GET", target), b""));
+    match async_io::block_on(call) {
         Some(Ok(body)) => Ok(body),
         Some(Err(e)) => Err(named(&e)),
         None => Err(named(&"no answer in time")),
     }
 }
 
-fn versions(v: &serde_json::Value) -> String {
-    let list = &v["list"];
-    let news = &v["news"];
-    let phase = ["trial", "released", "going back", "withdrawn"];
-    let phase = phase.get(news["phase"].as_u64().unwrap_or(9) as usize).copied().unwrap_or("-");
-    let cap = news["cap"].as_f64().unwrap_or(0.0) / 1e4;
-    format!("list {:>6}  build {} {phase} {cap:.1} %", list["index"].to_string(), news["build"])
+fn version_text(version: &serde_json::Value) -> String {
+    let list = &version["list"];
+    let status = &version["news"];
+    let phases = ["trial", "released", "rolling back", "withdrawn"];
+    let phase = phases.get(status["phase"].as_u64().unwrap_or(9) as usize).copied().unwrap_or("-");
+    let cap = status["cap"].as_f64().unwrap_or(0.0) / 1e4;
+    format!("list {:>6}  build {} {phase} {cap:.1} %", list["index"].to_string(), status["build"])
 }
 
-/// What one planner knows now.
+/// Prints what one planner knows of its fleet now.
 pub fn status(at: SocketAddr, json: bool) -> CommandOutput {
-    let asked = || {
+    let print = || {
         let body = get(at, "/fleet/status")?;
         if json {
             return Ok(String::from_utf8_lossy(&body).into_owned() + "\n");
         }
         let status: serde_json::Value = serde_json::from_slice(&body).map_err(|e| format!("{at}: {e}"))?;
         let mut text = format!(
-            "planner {}, at most {} fronts out; other planners heard, ms ago: {}\n",
+            "planner {}, at most {} fronts out of service; last contact with other planners, ms ago: {}\n",
             status["planner"].as_str().unwrap_or(""),
             status["most_out"],
             status["planners_ms_ago"]
         );
-        for f in status["fronts"].as_array().into_iter().flatten() {
-            let heard = f["heard_ms_ago"].as_u64().map_or("never heard".into(), |ms| format!("{ms} ms ago"));
-            let behind = f["behind_ms"].as_u64().map_or(String::new(), |ms| format!(", behind for {ms} ms"));
-            let out = f["out"].as_str().map_or(String::new(), |o| format!(", to be out: {o}"));
-            let missing = f["missing"].as_u64().filter(|n| *n > 0);
-            let missing = missing.map_or(String::new(), |n| format!(", {n} spans not here"));
-            let twin = if f["twin"] == true { ", TWO PROCESSES UNDER THIS NAME" } else { "" };
-            let on = if f["version"].is_null() { "unknown".into() } else { versions(&f["version"]) };
+        for front in status["fronts"].as_array().into_iter().flatten() {
+            let last_heartbeat = front["heard_ms_ago"]
+                .as_u64()
+                .map_or("no heartbeat yet".into(), |ms| format!("last heartbeat {ms} ms ago"));
+            let behind =
+                front["behind_ms"].as_u64().map_or(String::new(), |ms| format!(", stale for {ms} ms"));
+            let out = front["out"].as_str().map_or(String::new(), |o| format!(", ordered out: {o}"));
+            let missing = front["missing"].as_u64().filter(|n| *n > 0);
+            let missing = missing.map_or(String::new(), |n| format!(", {n} spans missing here"));
+            let duplicate = if front["twin"] == true { ", TWO PROCESSES UNDER THIS NAME" } else { "" };
+            let version =
+                if front["version"].is_null() { "unknown".into() } else { version_text(&front["version"]) };
             let _ = writeln!(
                 text,
-                "{:<12} {:<8} {:<12} {on}, heard {heard}{behind}{out}{missing}{twin}",
-                f["name"].as_str().unwrap_or(""),
-                f["zone"].as_str().unwrap_or(""),
-                f["step"].as_str().unwrap_or(""),
+                "{:<12} {:<8} {:<12} {version}, {last_heartbeat}{stale}{out}{missing}{duplicate}",
+                front["name"].as_str().unwrap_or(""),
+                front["zone"].as_str().unwrap_or(""),
+                front["step"].as_str().unwrap_or(""),
             );
         }
-        for c in status["contradictions"].as_array().into_iter().flatten() {
-            let _ = writeln!(text, "contradiction: {c}");
+        for contradiction in status["contradictions"].as_array().into_iter().flatten() {
+            let _ = writeln!(text, "contradiction: {contradiction}");
         }
-        for (why, n) in status["refused"].as_object().into_iter().flatten() {
-            let _ = writeln!(text, "refused {n} times: {why}");
+        for (why, count) in status["refused"].as_object().into_iter().flatten() {
+            let _ = writeln!(text, "refused {count} times: {why}");
         }
         Ok(text)
     };
-    told(asked())
+    output(print())
 }
 
 fn micros(seconds: Option<f64>) -> Result<Option<u64>, String> {
@@ -90,48 +94,53 @@
     }
 }
 
-fn record(from: &RecordSource, of: &RecordFilter) -> Result<Audit, String> {
-    let asked =
-        Asked { front: of.front.clone(), index: of.version, from: micros(of.from)?, to: micros(of.to)? };
-    if let Some(dir) = &from.dir {
-        let (book, spoilt) = planner::read_report_log(dir)?;
-        if !spoilt.is_empty() {
-            return Err(spoilt.join("\n"));
+fn fetch_audit(source: &RecordSource, filter: &RecordFilter) -> Result<Audit, String> {
+    let filter = Asked {
+        front: filter.front.clone(),
+        index: filter.version,
+        from: micros(filter.from)?,
+        to: micros(filter.to)?,
+    };
+    if let Some(dir) = &source.dir {
+        let (report_log, unreadable) = planner::read_report_log(dir)?;
+        if !unreadable.is_empty() {
+            return Err(unreadable.join("\n"));
         }
-        return Ok(draw(&book, &asked));
+        return Ok(audit_log(&report_log, &filter));
     }
-    let at = from.at.ok_or("an address or a directory is needed")?;
-    let part = |name: &str, value: Option<String>| value.map_or(String::new(), |v| format!("{name}={v}&"));
+    let at = source.at.ok_or("either an address or a directory is required")?;
+    let parameter =
+        |name: &str, value: Option<String>| value.map_or(String::new(), |v| format!("{name}={v}&"));
     let number = |n: Option<u64>| n.map(|n| n.to_string());
-    let query = part("front", asked.front)
-        + &part("index", number(asked.index))
-        + &part("from", number(asked.from))
-        + &part("to", number(asked.to));
+    let query = parameter("front", filter.front)
+        + &parameter("index", number(filter.index))
+        + &parameter("from", number(filter.from))
+        + &parameter("to", number(filter.to));
     let body = get(at, &format!("/fleet/audit?{query}"))?;
     serde_json::from_slice(&body).map_err(|e| format!("{at}: {e}"))
 }
 
-fn acted_on(v: &Version) -> String {
-    versions(&serde_json::to_value(v).unwrap_or_default())
+fn version_used(version: &Version) -> String {
+    version_text(&serde_json::to_value(version).unwrap_or_default())
 }
 
-/// Which front acted on which version when: a line for each stretch on one version.
-pub fn audit(from: &RecordSource, of: &RecordFilter, json: bool) -> CommandOutput {
-    let drawn = || {
-        let audit = record(from, of)?;
+/// Prints which front acted on which version when: one line for each run of spans on the same version.
+pub fn audit(source: &RecordSource, filter: &RecordFilter, json: bool) -> CommandOutput {
+    let print = || {
+        let audit = fetch_audit(source, filter)?;
         if json {
             return serde_json::to_string(&audit).map(|t| t + "\n").map_err(|e| e.to_string());
         }
         let mut text = String::new();
-        for one in &audit.incarnations {
-            let _ = writeln!(text, "{} incarnation {}", one.front, one.incarnation);
+        for record in &audit.incarnations {
+            let _ = writeln!(text, "{} incarnation {}", record.front, record.incarnation);
             let mut at = 0;
-            while let Some(first) = one.rows.get(at) {
+            while let Some(first) = record.rows.get(at) {
                 let same = |r: &&yarrowspoke_fleet::audit::Row| {
                     (r.span.version, r.span.stance) == (first.span.version, first.span.stance)
                         && r.span.until == first.span.until
                 };
-                let run: Vec<_> = one.rows[at..].iter().take_while(same).collect();
+                let run: Vec<_> = record.rows[at..].iter().take_while(same).collect();
                 at += run.len();
                 let last = run.last().map_or(first, |r| r);
                 let attempts: u32 = run.iter().flat_map(|r| &r.span.attempts).map(|a| a.2).sum();
@@ -144,69 +153,71 @@
                     "  {:>10.3} to {:>10.3} s  {}  {:?}  {attempts} attempts at {} machines, {votes} votes{}",
                     first.span.from as f64 / 1e6,
                     last.span.to as f64 / 1e6,
-                    acted_on(&first.span.version),
+                    version_used(&first.span.version),
                     first.span.stance,
                     machines.len(),
-                    if joined { "  (joined: no planner could be reached)" } else { "" },
+                    if joined { "  (spans merged: no planner was reachable)" } else { "" },
                 );
             }
-            for u in &one.unknown {
+            for gap in &record.unknown {
                 let _ = writeln!(
                     text,
                     "  UNKNOWN from {:.3} s on{}: {}",
-                    u.from as f64 / 1e6,
-                    u.until_wall
+                    gap.from as f64 / 1e6,
+                    gap.until_wall
                         .map_or(", to now".into(), |w| format!(", to Unix time {:.3}", w as f64 / 1e6)),
-                    u.why
+                    gap.why
                 );
             }
         }
-        for c in &audit.contradictions {
+        for contradiction in &audit.contradictions {
             let _ = writeln!(
                 text,
                 "CONTRADICTION {} incarnation {} span {}: {}",
-                c.front, c.incarnation, c.number, c.what
+                contradiction.front, contradiction.incarnation, contradiction.number, contradiction.what
             );
         }
         Ok(text)
     };
-    told(drawn())
+    output(print())
 }
 
-/// How long an order may take to be agreed on, and when it is given again.
-const ORDER_WITHIN: Duration = Duration::from_secs(15);
-const ORDER_AGAIN: Duration = Duration::from_millis(1_000);
+/// How long an order may take to be decided.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(15);
+/// After how long an undecided order is sent again.
+const ORDER_RESEND_INTERVAL: Duration = Duration::from_millis(1_000);
 
-fn post(at: SocketAddr, body: &[u8]) -> Result<(), String> {
-    let mut line = None;
-    let asked = within(PATIENCE, exchange(&mut line, at, ("POST", "/fleet/order"), body));
-    match async_io::block_on(asked) {
+fn post_order(address: SocketAddr, body: &[u8]) -> Result<(), String> {
+    let mut connection = None;
+    let call = within(ANSWER_TIMEOUT, exchange(&mut connection, address, ("POST", "/fleet/order"), body));
+    match async_io::block_on(call) {
         Some(Ok(_)) => Ok(()),
-        Some(Err(e)) => Err(format!("{at}: {e}")),
-        None => Err(format!("{at}: no answer in time")),
+        Some(Err(e)) => Err(format!("{address}: {e}")),
+        None => Err(format!("{address}: no answer in time")),
     }
 }
 
-fn agreed(at: SocketAddr) -> Result<serde_json::Value, String> {
-    serde_json::from_slice(&get(at, "/fleet/agreed")?).map_err(|e| format!("{at}: {e}"))
+fn agreed_state(address: SocketAddr) -> Result<serde_json::Value, String> {
+    serde_json::from_slice(&get(address, "/fleet/agreed")?).map_err(|e| format!("{address}: {e}"))
 }
 
-fn ordered(to: &OrderArgs, fields: &[(&str, &str)], number: u64) -> Result<String, String> {
+fn submit_order(order: &OrderArgs, fields: &[(&str, &str)], number: u64) -> Result<String, String> {
     let ticket = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as u64);
-    let mut body = serde_json::json!({"by": to.by, "knows": to.knows, "ticket": ticket, "number": number});
+    let mut body =
+        serde_json::json!({"by": order.by, "knows": order.knows, "ticket": ticket, "number": number});
     for (name, value) in fields {
         body[*name] = (*value).into();
     }
     let bytes = body.to_string().into_bytes();
-    let (begun, mut given) = (Instant::now(), None::<Instant>);
-    while begun.elapsed() < ORDER_WITHIN {
-        // Given again under its ticket, it is one deed.
-        if given.is_none_or(|at| at.elapsed() > ORDER_AGAIN) {
-            post(to.at, &bytes)?;
-            given = Some(Instant::now());
+    let (started, mut sent) = (Instant::now(), None::<Instant>);
+    while started.elapsed() < ORDER_TIMEOUT {
+        // The ticket makes the order idempotent: sent again, it is carried out once.
+        if sent.is_none_or(|at| at.elapsed() > ORDER_RESEND_INTERVAL) {
+            post_order(order.at, &bytes)?;
+            sent = Some(Instant::now());
         }
-        let state = agreed(to.at)?;
-        let outcomes = state["state"]["outcomes"].as_array().cloned().unwrap_or_default();
+        let agreed = agreed_state(order.at)?;
+        let outcomes = agreed["state"]["outcomes"].as_array().cloned().unwrap_or_default();
         if let Some(outcome) = outcomes.iter().find(|o| o[0] == ticket) {
             return match &outcome[1] {
                 serde_json::Value::Null => Ok(format!("agreed: {}\n", outcome[2].as_str().unwrap_or(""))),
@@ -215,68 +226,72 @@
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    Err(format!("{}: not agreed on within {ORDER_WITHIN:?}, and it may still be: look at the permits", to.at))
+    Err(format!(
+        "{}: not decided within {ORDER_TIMEOUT:?}, and it may still be decided: check the permits",
+        order.at
+    ))
 }
 
-/// Gives an order and waits until it is agreed on; exit status 1 if it is refused or nobody can tell.
-pub fn order(to: &OrderArgs, fields: &[(&str, &str)]) -> CommandOutput {
-    told(ordered(to, fields, 0))
+/// Sends an order and waits until it is decided. The exit status is 1 if it is refused or its outcome is not known in
+/// time.
+pub fn order(order: &OrderArgs, fields: &[(&str, &str)]) -> CommandOutput {
+    output(submit_order(order, fields, 0))
 }
 
-/// Takes a permit away by its number.
-pub fn free(to: &OrderArgs, front: &str, number: u64) -> CommandOutput {
-    told(ordered(to, &[("what", "free"), ("front", front)], number))
+/// Orders a permit withdrawn, named by its number.
+pub fn free(order: &OrderArgs, front: &str, number: u64) -> CommandOutput {
+    output(submit_order(order, &[("what", "free"), ("front", front)], number))
 }
 
-/// Who may be out, who waits, who is lost.
+/// Prints which fronts hold a permit, which wait for one, and which are unreachable.
 pub fn permits(at: SocketAddr, json: bool) -> CommandOutput {
-    let shown = || {
-        let agreed = agreed(at)?;
+    let print = || {
+        let agreed = agreed_state(at)?;
         if json {
             return Ok(format!("{agreed}\n"));
         }
         let state = &agreed["state"];
-        let mut text = format!("orders followed {}, leader {}\n", state["orders"], agreed["leader"]);
+        let mut text = format!("orders applied {}, leader {}\n", state["orders"], agreed["leader"]);
         if let Some(halt) = state["halted"].as_array() {
             let _ = writeln!(text, "HALTED by {}: {}", halt[1], halt[0]);
         }
-        for (front, p) in state["permits"].as_object().into_iter().flatten() {
+        for (front, permit) in state["permits"].as_object().into_iter().flatten() {
             let _ = writeln!(
                 text,
-                "{front} may be out: permit {}, {}, for {}",
-                p["number"], p["phase"], p["cause"]
+                "{front} holds permit {}, {}, cause {}",
+                permit["number"], permit["phase"], permit["cause"]
             );
         }
-        for w in state["waits"].as_array().into_iter().flatten() {
-            let _ = writeln!(text, "{} waits, for {}", w[0], w[2]);
+        for waiting in state["waits"].as_array().into_iter().flatten() {
+            let _ = writeln!(text, "{} waits for a permit, cause {}", waiting[0], waiting[2]);
         }
-        let _ = writeln!(text, "not heard, by planner: {}", state["views"]);
+        let _ = writeln!(text, "unreachable fronts, by planner: {}", state["views"]);
         Ok(text)
     };
-    told(shown())
+    output(print())
 }
 
-/// Checks chains, gaps and contradictions of a directory.
+/// Checks a planner's directory for broken chains, gaps and contradictions.
 pub fn verify(dir: &Path) -> CommandOutput {
-    let verified = || {
-        let (book, spoilt) = planner::read_report_log(dir)?;
+    let check = || {
+        let (report_log, unreadable) = planner::read_report_log(dir)?;
         let mut text = String::new();
-        for (front, incarnation) in book.incarnations() {
-            let (view, gaps) = (book.view(front, incarnation), book.gaps(front, incarnation));
+        for (front, incarnation) in report_log.incarnations() {
+            let (view, gaps) = (report_log.view(front, incarnation), report_log.gaps(front, incarnation));
             let _ =
                 writeln!(text, "{front} incarnation {incarnation}: {} reports, gaps {gaps:?}", view.len());
         }
-        let wrong: Vec<String> = book
+        let faults: Vec<String> = report_log
             .contradictions()
             .into_iter()
             .map(|c| format!("{} incarnation {} span {}: {}", c.front, c.incarnation, c.number, c.what))
-            .chain(spoilt)
+            .chain(unreadable)
             .collect();
-        if wrong.is_empty() {
-            Ok(format!("{}: right\n{text}", dir.display()))
+        if faults.is_empty() {
+            Ok(format!("{}: valid\n{text}", dir.display()))
         } else {
-            Err(format!("{text}{}", wrong.join("\n")))
+            Err(format!("{text}{}", faults.join("\n")))
         }
     };
-    told(verified())
+    output(check())
 }
