--- a/crates/yarrowspoke-front/src/fleet_commands.rs
+++ b/crates/yarrowspoke-front/src/fleet_commands.rs
@@ -59,9 +59,9 @@
             let last_heartbeat = front["heard_ms_ago"]
                 .as_u64()
                 .map_or("no heartbeat yet".into(), |ms| format!("last heartbeat {ms} ms ago"));
-            let behind =
+            let stale =
                 front["behind_ms"].as_u64().map_or(String::new(), |ms| format!(", stale for {ms} ms"));
-            let out = front["out"].as_str().map_or(String::new(), |o| format!(", ordered out: {o}"));
+            let out = front["out"].as_str().map_or(String::new(), |o| format!(", out of service: {o}"));
             let missing = front["missing"].as_u64().filter(|n| *n > 0);
             let missing = missing.map_or(String::new(), |n| format!(", {n} spans missing here"));
             let duplicate = if front["twin"] == true { ", TWO PROCESSES UNDER THIS NAME" } else { "" };
