--- a/crates/yarrowspoke-front/tests/shape.rs
+++ b/crates/yarrowspoke-front/tests/shape.rs
@@ -5,7 +5,7 @@
 use common::{get, unique_id, wait_until, TestEnvironment};
 use std::io::{BufRead, BufReader};
 use std::sync::{Arc, Mutex};
-use yarrowspoke::interface::{Action, Verdict};
+use yarrowspoke::interface::{Action, Vote};
 use yarrowspoke_front::config::{parse, Config, ConfigError};
 use yarrowspoke_front::shadow_settings::{differences, DecisionKind};
 use yarrowspoke_toy::Behaviour;
@@ -75,7 +75,7 @@
 #[test]
 fn settings_of_the_new_shape_are_read_and_slips_in_them_are_named() {
     let plain = with("\"toy\"", "\"toy\"").unwrap();
-    assert!(plain.shadow_settings.is_none() && !plain.settings.module.probes);
+    assert!(plain.shadow_settings.is_none() && !plain.settings.module.allows_probes);
     let without = with(", \"Source\": \"answers\"", "").unwrap();
     assert_eq!(without.settings.module.report_source, plain.settings.module.report_source);
     for (from, to, field) in [
@@ -96,8 +96,8 @@
     let over = "\"watch\": {\"Bounds\": {\"Probes\": true}, \"Domain\": {\"FlagShare\": 0.5}}, \"seed\"";
     let config = with("\"seed\"", over).unwrap();
     let watch = config.shadow_settings.unwrap().module;
-    assert!(watch.probes && !config.settings.module.probes);
-    assert_eq!((watch.release.flag_share, config.settings.module.release.flag_share), (0.5, 0.0));
+    assert!(watch.allows_probes && !config.settings.module.allows_probes);
+    assert_eq!((watch.release.complaint_share, config.settings.module.release.complaint_share), (0.5, 0.0));
     assert_eq!(watch.max_attempts, config.settings.module.max_attempts);
 }
 
@@ -105,7 +105,7 @@
 fn only_what_is_decided_otherwise_is_counted_and_by_its_kind() {
     let send = |machine| Action::Send { id: 1, machine, timeout: 0 };
     let (log, timer) = (Action::Log("x".into()), Action::Timer { name: 0, after: 1 });
-    let vote = Action::Vote { build: 2, stage: 0, verdict: Verdict::On };
+    let vote = Action::Vote { build: 2, stage: 0, vote: Vote::Advance };
     assert_eq!(differences(&[send(1), log], &[timer, send(1)]), []);
     assert_eq!(differences(&[send(1)], &[send(2)]), [DecisionKind::Send]);
     assert_eq!(
