--- a/crates/yarrowspoke-front/src/net/asked.rs
+++ b/crates/yarrowspoke-front/src/net/asked.rs
@@ -5,7 +5,7 @@
 use crate::exchange::Call;
 use crate::input::ClassProtocol;
 use std::rc::Rc;
-use yarrowspoke::interface::{Micros, Ruled};
+use yarrowspoke::interface::{Micros, RequestPolicy};
 use yarrowspoke_settings::Names;
 
 /// Longest budget believed.
@@ -138,7 +138,7 @@
             key,
             work_hint: self.hint,
             is_retry: self.repeat,
-            policy: Ruled::default(),
+            policy: RequestPolicy::default(),
             call_id,
             idempotency_key: self.idempotency_key,
             body,
--- a/crates/yarrowspoke-front/src/shadow_settings.rs
+++ b/crates/yarrowspoke-front/src/shadow_settings.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
-use yarrowspoke::interface::{Action, Event, Micros, Settings, Verdicts};
+use yarrowspoke::interface::{Action, ErrorRates, Event, Micros, Settings};
 use yarrowspoke::Front;
 
 /// A kind of decision.
@@ -39,8 +39,8 @@
         Action::Probe { .. } => Some(DecisionKind::Probe),
         Action::Cancel { .. } => Some(DecisionKind::Cancel),
         Action::Vote { .. } => Some(DecisionKind::Vote),
-        Action::Watch(_) | Action::Fetch => Some(DecisionKind::List),
-        Action::Close { .. } | Action::Tell { .. } => Some(DecisionKind::Other),
+        Action::Subscribe(_) | Action::FetchList => Some(DecisionKind::List),
+        Action::CloseIdle { .. } | Action::SendToPeer { .. } => Some(DecisionKind::Other),
         Action::Timer { .. } | Action::Log(_) => None,
     }
 }
@@ -77,8 +77,8 @@
     }
 
     /// Rates of judging hold for both.
-    pub fn set_error_rates(&mut self, rates: Option<Verdicts>) {
-        self.settings.verdicts = rates;
+    pub fn set_error_rates(&mut self, rates: Option<ErrorRates>) {
+        self.settings.error_rates = rates;
     }
 
     /// Puts `event` to the module as it stood `before` it, and counts where that differs from what was `done`.
@@ -88,7 +88,7 @@
         let mut actions = Vec::new();
         // Danger: settings that nobody has run yet must not end what is decided by the present ones.
         let tried = catch_unwind(AssertUnwindSafe(|| {
-            before.restate(settings);
+            before.replace_settings(settings);
             before.handle(now, event, &mut actions);
         }));
         let kinds = if tried.is_ok() { differences(done, &actions) } else { vec![DecisionKind::Defect] };
