--- a/crates/yarrowspoke-fleet/src/audit.rs
+++ b/crates/yarrowspoke-fleet/src/audit.rs
@@ -1,7 +1,7 @@
 //! The answer to "which front acted on which version, when": rows of what is known, and bounds of what is not.
 
-use crate::book::{Book, Contradiction};
 use crate::mutant;
+use crate::report_log::{Contradiction, ReportLog};
 use crate::span::{Report, Span};
 use crate::Micros;
 use serde::{Deserialize, Serialize};
@@ -9,7 +9,7 @@
 /// A stretch of a front's incarnation of which nothing is known, between two points of which something is. It is never
 /// shown as fine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Unknown {
+pub struct UnknownInterval {
     /// Number of the last span before it; 0 = the incarnation's beginning.
     pub after: u64,
     /// The end of that span on the front's clock.
@@ -41,7 +41,7 @@
     /// What is known.
     pub rows: Vec<Row>,
     /// What is not.
-    pub unknown: Vec<Unknown>,
+    pub unknown: Vec<UnknownInterval>,
 }
 
 /// The whole.
@@ -56,7 +56,7 @@
 
 /// What part of it is asked for.
 #[derive(Clone, Debug, Default)]
-pub struct Asked {
+pub struct AuditQuery {
     /// Only this front.
     pub front: Option<String>,
     /// Only spans on this index of the list.
@@ -67,10 +67,10 @@
     pub to: Option<Micros>,
 }
 
-impl Asked {
+impl AuditQuery {
     fn wants(&self, span: &Span) -> bool {
         let index = |i: u64| {
-            let ends = [span.version.list.index, span.until.unwrap_or(span.version).list.index];
+            let ends = [span.version.list.index, span.last_version.unwrap_or(span.version).list.index];
             ends.contains(&i) || (ends[0].min(ends[1])..=ends[0].max(ends[1])).contains(&i)
         };
         self.index.is_none_or(index)
@@ -84,7 +84,7 @@
 }
 
 /// Draws the audit from the merged record. Unknown stretches are always all told: a filter must not make them look fine.
-pub fn audit(book: &Book, asked: &Asked) -> Audit {
+pub fn audit(book: &ReportLog, asked: &AuditQuery) -> Audit {
     let incarnations: Vec<(&str, u64)> =
         book.incarnations().into_iter().filter(|l| asked.front.as_ref().is_none_or(|f| f == l.0)).collect();
     let mut out = Vec::new();
@@ -94,7 +94,7 @@
         for (a, b) in book.gaps(front, *incarnation) {
             let before = view.iter().rfind(|r| r.last < a);
             let behind = view.iter().find(|r| r.first > b);
-            unknown.push(Unknown {
+            unknown.push(UnknownInterval {
                 after: a - 1,
                 from: before.map_or(0, |r| r.span.to),
                 from_wall: before.map_or(0, |r| r.span.wall),
@@ -104,8 +104,8 @@
         }
         let next = incarnations.get(n + 1).filter(|l| l.0 == *front);
         let next = next.and_then(|l| book.view(l.0, l.1).first().map(|r| begun_wall(r)));
-        if let Some(last) = view.last().filter(|_| !mutant::is("tail-shown-fine")) {
-            unknown.push(Unknown {
+        if let Some(last) = view.last().filter(|_| !mutant::active("tail-shown-fine")) {
+            unknown.push(UnknownInterval {
                 after: last.last,
                 from: last.span.to,
                 from_wall: last.span.wall,
--- a/crates/yarrowspoke-fleet/src/delta.rs
+++ b/crates/yarrowspoke-fleet/src/delta.rs
@@ -17,7 +17,7 @@
     /// Its digest, as fronts tell it.
     pub digest: u64,
     /// The sum over the machines that are ready on it.
-    pub sum: Sum,
+    pub sum: MachineSetHash,
 }
 
 impl Base {
@@ -29,10 +29,10 @@
 
 /// 128 bits over a set of machines, free of order: one machine more or less costs one hash, not all of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Sum(u128);
+pub struct MachineSetHash(u128);
 
-impl Sum {
-    fn of(machine: u32, build: u16) -> u128 {
+impl MachineSetHash {
+    fn machine_hash(machine: u32, build: u16) -> u128 {
         let mut row = [0; 6];
         row[..4].copy_from_slice(&machine.to_le_bytes());
         row[4..].copy_from_slice(&build.to_le_bytes());
@@ -41,18 +41,18 @@
     }
 
     /// Over all of these.
-    pub fn over(machines: impl IntoIterator<Item = (u32, u16)>) -> Self {
+    pub fn of_machines(machines: impl IntoIterator<Item = (u32, u16)>) -> Self {
         let mut sum = Self::default();
         machines.into_iter().for_each(|(m, b)| sum.add(m, b));
         sum
     }
 
     fn add(&mut self, machine: u32, build: u16) {
-        self.0 = self.0.wrapping_add(Self::of(machine, build));
+        self.0 = self.0.wrapping_add(Self::machine_hash(machine, build));
     }
 
     fn remove(&mut self, machine: u32, build: u16) {
-        self.0 = self.0.wrapping_sub(Self::of(machine, build));
+        self.0 = self.0.wrapping_sub(Self::machine_hash(machine, build));
     }
 }
 
@@ -64,16 +64,19 @@
     /// Gives this.
     pub to: Base,
     /// Fronts that hold the result from their own source.
-    pub vouched: u32,
+    #[serde(rename = "vouched")]
+    pub confirmations: u32,
     /// Machines that are not ready any more, if they were.
-    pub gone: Vec<u32>,
+    #[serde(rename = "gone")]
+    pub removed: Vec<u32>,
     /// Machines that are ready, with their builds.
-    pub set: Vec<(u32, u16)>,
+    #[serde(rename = "set")]
+    pub updated: Vec<(u32, u16)>,
 }
 
 /// Why a delta was not applied. Nothing has changed then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unfit {
+pub enum DeltaError {
     /// Another list is held than the one it is against.
     Base,
     /// What results is not what its sender holds.
@@ -82,14 +85,14 @@
 
 /// A list of machines that are ready, and how it came about.
 #[derive(Clone, Debug, Default)]
-pub struct Listed {
+pub struct MachineList {
     base: Base,
     machines: BTreeMap<u32, u16>,
     /// The base before each step, and the machines that the step touched.
     steps: VecDeque<(Base, Vec<u32>)>,
 }
 
-impl Listed {
+impl MachineList {
     /// What it is.
     pub fn base(&self) -> Base {
         self.base
@@ -125,32 +128,33 @@
     }
 
     /// What has changed since a base, if that is one of its own lately; `None` where only the whole will do.
-    pub fn since(&self, base: &Base, vouched: u32) -> Option<Delta> {
+    pub fn delta_since(&self, base: &Base, confirmations: u32) -> Option<Delta> {
         let from = self.steps.iter().position(|s| s.0 == *base)?;
         let touched: BTreeSet<u32> = self.steps.iter().skip(from).flat_map(|s| s.1.iter().copied()).collect();
         if 2 * touched.len() > self.machines.len().max(16) {
             return None;
         }
-        let (set, gone): (Vec<u32>, Vec<u32>) = touched.iter().partition(|m| self.machines.contains_key(m));
-        let set = set.into_iter().map(|m| (m, self.machines[&m])).collect();
-        Some(Delta { base: *base, to: self.base, vouched, gone, set })
+        let (updated, removed): (Vec<u32>, Vec<u32>) =
+            touched.iter().partition(|m| self.machines.contains_key(m));
+        let updated = updated.into_iter().map(|m| (m, self.machines[&m])).collect();
+        Some(Delta { base: *base, to: self.base, confirmations, removed, updated })
     }
 
     /// The sum and the builds that change, without changing anything.
-    fn weigh(&self, delta: &Delta) -> Result<(), Unfit> {
-        if mutant::is("delta-on-any-base") {
+    fn verify(&self, delta: &Delta) -> Result<(), DeltaError> {
+        if mutant::active("delta-on-any-base") {
             return Ok(());
         }
         if delta.base != self.base {
-            return Err(Unfit::Base);
+            return Err(DeltaError::Base);
         }
         let mut sum = self.base.sum;
         let changes =
-            delta.gone.iter().map(|m| (*m, None)).chain(delta.set.iter().map(|(m, b)| (*m, Some(*b))));
+            delta.removed.iter().map(|m| (*m, None)).chain(delta.updated.iter().map(|(m, b)| (*m, Some(*b))));
         let mut seen = BTreeSet::new();
         for (machine, build) in changes {
             if !seen.insert(machine) {
-                return Err(Unfit::Digest);
+                return Err(DeltaError::Digest);
             }
             if let Some(held) = self.machines.get(&machine) {
                 sum.remove(machine, *held);
@@ -162,28 +166,28 @@
         if sum == delta.to.sum {
             Ok(())
         } else {
-            Err(Unfit::Digest)
+            Err(DeltaError::Digest)
         }
     }
 
     /// Takes a delta in: only against exactly the base it names, and only if what results is what its sender holds.
-    pub fn apply(&mut self, delta: &Delta) -> Result<(), Unfit> {
-        self.weigh(delta)?;
-        for machine in &delta.gone {
+    pub fn apply(&mut self, delta: &Delta) -> Result<(), DeltaError> {
+        self.verify(delta)?;
+        for machine in &delta.removed {
             self.machines.remove(machine);
         }
-        self.machines.extend(delta.set.iter().copied());
-        let touched = delta.gone.iter().copied().chain(delta.set.iter().map(|s| s.0)).collect();
+        self.machines.extend(delta.updated.iter().copied());
+        let touched = delta.removed.iter().copied().chain(delta.updated.iter().map(|s| s.0)).collect();
         self.step(touched, delta.to);
         Ok(())
     }
 
     /// The machines as they would be behind a delta, in order; this list stays as it is.
-    pub fn with(&self, delta: &Delta) -> Result<Vec<(u32, u16)>, Unfit> {
-        self.weigh(delta)?;
+    pub fn machines_after(&self, delta: &Delta) -> Result<Vec<(u32, u16)>, DeltaError> {
+        self.verify(delta)?;
         let mut machines = self.machines.clone();
-        machines.retain(|m, _| !delta.gone.contains(m));
-        machines.extend(delta.set.iter().copied());
+        machines.retain(|m, _| !delta.removed.contains(m));
+        machines.extend(delta.updated.iter().copied());
         Ok(machines.into_iter().collect())
     }
 }
--- a/crates/yarrowspoke-fleet/src/front.rs
+++ b/crates/yarrowspoke-fleet/src/front.rs
@@ -1,13 +1,13 @@
 //! A front's side: its record, its lease, what planners take away, and how it stands at any moment.
 
-use crate::agreed::{Holder, Word};
-use crate::delta::{Base, Delta, Listed, Unfit};
+use crate::delta::{Base, Delta, DeltaError, MachineList};
+use crate::heartbeat_schedule::{self, PlannerSchedule};
 use crate::mutant;
-use crate::pace::{self, Beat};
+use crate::permits::{PermitHolder, PermitMessage};
 use crate::settings::{Alone, Fleet, Lists, Spans};
 use crate::span::{Recorder, Report, Stance};
-use crate::version::{Ages, News, Source, Version};
-use crate::wire::{Answer, Heartbeat, ListState, Ready, Slot, REPORTS_AT_ONCE};
+use crate::version::{Ages, ListSource, RolloutStatus, Version};
+use crate::wire::{Heartbeat, HeartbeatResponse, ListState, ReadyMachines, Slot, REPORTS_AT_ONCE};
 use crate::Micros;
 use std::collections::BTreeMap;
 
@@ -25,8 +25,8 @@
     version: Version,
     stance: Stance,
     votes: Vec<Option<Slot>>,
-    permit: Option<(u64, Word)>,
-    reconciled: (u64, Option<News>),
+    permit: Option<(u64, PermitMessage)>,
+    reconciled: (u64, Option<RolloutStatus>),
 }
 
 /// One planner, as a front knows it.
@@ -40,7 +40,7 @@
     /// When a heartbeat was begun that then failed, with none answered since.
     failed: Option<Micros>,
     vote: Option<Slot>,
-    knows: (u64, u64),
+    known_list: (u64, u64),
     echo: (u64, Micros),
     /// The number of the highest permit that it knows has ended, if it is this front's.
     ended: u64,
@@ -62,18 +62,18 @@
 
 /// What an answer changes.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Change {
+pub struct ResponseEffect {
     /// What is to be left out has changed: see [`FrontSide::leaves_out`].
-    pub narrowed: bool,
+    pub restricted: bool,
     /// Its own sources are to be asked again.
-    pub again: bool,
+    pub refetch: bool,
     /// Another process was heard under this front's name.
-    pub twin: bool,
+    pub duplicate_name: bool,
 }
 
 /// What planners and a lapsed lease take away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TakenAway {
+pub struct Restrictions {
     /// This build and later ones.
     trial: Option<u16>,
     /// Whatever is not on this list: epoch, index, digest.
@@ -89,21 +89,21 @@
     recorder: Recorder,
     planners: Vec<AtPlanner>,
     heard_list: Option<Micros>,
-    heard_news: Micros,
-    ready: Listed,
+    rollout_heard_at: Micros,
+    ready: MachineList,
     /// The list that planners brought last, by name: what a planner had may never have been discovery's here.
-    relayed: Listed,
+    relayed: MachineList,
     /// Which planner is asked for its whole list, and since when.
     asking: Option<(usize, Micros)>,
     /// When the last span was closed.
     closed: Micros,
     /// What planners brought: a list newer than its own, and news.
-    reconciled_list: Option<Ready>,
-    reconciled_news: Option<News>,
+    reconciled_list: Option<ReadyMachines>,
+    reconciled_rollout: Option<RolloutStatus>,
     /// A lease was ever held.
     held: bool,
     refused_shrink: u64,
-    holder: Holder,
+    holder: PermitHolder,
 }
 
 impl FrontSide {
@@ -117,16 +117,16 @@
             recorder,
             planners,
             heard_list: None,
-            heard_news: 0,
-            ready: Listed::default(),
-            relayed: Listed::default(),
+            rollout_heard_at: 0,
+            ready: MachineList::default(),
+            relayed: MachineList::default(),
             asking: None,
             closed: 0,
             reconciled_list: None,
-            reconciled_news: None,
+            reconciled_rollout: None,
             held: false,
             refused_shrink: 0,
-            holder: Holder::default(),
+            holder: PermitHolder::default(),
             fleet,
         }
     }
@@ -137,7 +137,7 @@
     }
 
     /// Other settings from now on, as told by a reload; who the planners are stays.
-    pub fn restate(&mut self, fleet: Fleet) {
+    pub fn replace_settings(&mut self, fleet: Fleet) {
         let members = std::mem::take(&mut self.fleet.members);
         self.fleet = Fleet { members, ..fleet };
     }
@@ -160,18 +160,18 @@
 
     /// Its own sources told a list: the index, its digest, and all machines that are ready on it with their builds. An index
     /// below the one held begins another epoch.
-    pub fn listed(
+    pub fn list_received(
         &mut self,
         (now, wall): (Micros, Micros),
         (index, digest): (u64, u64),
-        source: Source,
+        source: ListSource,
         ready: BTreeMap<u32, u16>,
     ) {
-        if source == Source::Discovery {
+        if source == ListSource::Discovery {
             self.heard_list = Some(now);
         }
         let mut version = self.version();
-        let back = source == Source::Discovery && index < version.list.index;
+        let back = source == ListSource::Discovery && index < version.list.index;
         let epoch = version.list.epoch + u32::from(back);
         version.list = crate::version::List { index, source, epoch, digest };
         self.ready.replace((epoch, index, digest), ready);
@@ -184,18 +184,18 @@
     }
 
     /// Discovery confirmed that nothing has changed.
-    pub fn confirmed(&mut self, now: Micros) {
+    pub fn list_confirmed(&mut self, now: Micros) {
         self.heard_list = Some(now);
     }
 
     /// Its own source told news.
-    pub fn told(&mut self, (now, wall): (Micros, Micros), news: News) {
-        self.heard_news = now;
+    pub fn rollout_received(&mut self, (now, wall): (Micros, Micros), rollout: RolloutStatus) {
+        self.rollout_heard_at = now;
         let mut version = self.version();
-        version.news = Some(news);
-        let over = |b: &News| news.build != b.build || !b.narrows(&news);
-        if self.reconciled_news.as_ref().is_some_and(over) {
-            self.reconciled_news = None;
+        version.rollout = Some(rollout);
+        let over = |b: &RolloutStatus| rollout.build != b.build || !b.is_narrower_than(&rollout);
+        if self.reconciled_rollout.as_ref().is_some_and(over) {
+            self.reconciled_rollout = None;
         }
         if version != self.version() {
             self.moves_to(now, wall, version);
@@ -203,7 +203,11 @@
     }
 
     /// Its files were read again.
-    pub fn reread(&mut self, (now, wall): (Micros, Micros), (config, operator, settings): (u64, u64, u64)) {
+    pub fn files_reloaded(
+        &mut self,
+        (now, wall): (Micros, Micros),
+        (config, operator, settings): (u64, u64, u64),
+    ) {
         let version = Version { config, operator, settings, ..self.version() };
         if version != self.version() {
             self.moves_to(now, wall, version);
@@ -212,9 +216,9 @@
 
     /// Closes a span where one is due: at every renewal, or at the pace while neither version nor stance has changed.
     pub fn tick(&mut self, now: Micros, wall: Micros) {
-        let stands = self.stance(now) == self.recorder.stance();
+        let unchanged = self.stance(now) == self.recorder.stance();
         let early = |pace: Micros| now.saturating_sub(self.closed) + self.fleet.renew / 2 < pace;
-        if stands && self.fleet.paced.is_some_and(|p| early(p.pace)) {
+        if unchanged && self.fleet.paced.is_some_and(|p| early(p.pace)) {
             return;
         }
         let version = self.version();
@@ -226,13 +230,13 @@
             version: self.version(),
             stance: self.stance(now),
             votes: self.planners.iter().map(|p| p.vote).collect(),
-            permit: self.holder.word(),
+            permit: self.holder.message(),
             reconciled: self.reconciled(),
         }
     }
 
-    fn reconciled(&self) -> (u64, Option<News>) {
-        (self.reconciled_list.as_ref().map_or(0, |b| b.index), self.reconciled_news)
+    fn reconciled(&self) -> (u64, Option<RolloutStatus>) {
+        (self.reconciled_list.as_ref().map_or(0, |b| b.index), self.reconciled_rollout)
     }
 
     /// Whether the next heartbeat to this planner must not wait for the pace.
@@ -246,12 +250,12 @@
         if answering < self.planners.len() && answering <= self.fleet.majority() {
             return true;
         }
-        if mutant::is("change-waits-for-pace") {
+        if mutant::active("change-waits-for-pace") {
             return false;
         }
         let brings = at.wants_whole
             || at.holds.is_some_and(|held| self.own_base().is_some_and(|own| own.is_newer(&held)))
-                && self.ready.since(&at.holds.unwrap_or_default(), 1).is_some();
+                && self.ready.delta_since(&at.holds.unwrap_or_default(), 1).is_some();
         at.concerned
             || brings
             || self.asking.is_some_and(|a| a.0 == planner)
@@ -261,7 +265,7 @@
 
     /// When the next heartbeat to this planner is due. To be asked again in each part of a renewal: whatever changes may
     /// bring it forward.
-    pub fn due(&mut self, planner: usize, now: Micros) -> Micros {
+    pub fn next_heartbeat_at(&mut self, planner: usize, now: Micros) -> Micros {
         let renew = self.fleet.renew;
         let Some(paced) = self.fleet.paced else {
             return self.planners[planner].last.map_or(0, |at| at + renew);
@@ -269,17 +273,18 @@
         let hurries = self.hurries(planner, now);
         let at = &mut self.planners[planner];
         at.hurry = hurries.then(|| at.hurry.unwrap_or(now));
-        let beat = |p: &AtPlanner| Beat { last: p.last, hurry: p.hurry, answers: p.failed.is_none() };
-        let beats: Vec<Beat> = self.planners.iter().map(beat).collect();
+        let beat =
+            |p: &AtPlanner| PlannerSchedule { last: p.last, hurry: p.hurry, answers: p.failed.is_none() };
+        let beats: Vec<PlannerSchedule> = self.planners.iter().map(beat).collect();
         let seed =
             [self.incarnation, planner as u64, self.planners[planner].sent].map(u64::to_le_bytes).concat();
-        pace::due(&beats, planner, (renew, paced.pace), crate::version::digest(&seed))
+        heartbeat_schedule::next_due(&beats, planner, (renew, paced.pace), crate::version::digest(&seed))
     }
 
     /// Its own list by name, where it is discovery's.
     fn own_base(&self) -> Option<Base> {
         let own = self.version().list;
-        (own.source == Source::Discovery).then(|| self.ready.base())
+        (own.source == ListSource::Discovery).then(|| self.ready.base())
     }
 
     fn by_delta(&self) -> bool {
@@ -289,7 +294,7 @@
     /// The planner that gets this front's spans first: by rendezvous hashing among those that answer, so that another one's
     /// failure moves nothing.
     fn home(&self) -> Option<usize> {
-        let answers = |n: &usize| self.planners[*n].failed.is_none() || mutant::is("spans-to-nobody");
+        let answers = |n: &usize| self.planners[*n].failed.is_none() || mutant::active("spans-to-nobody");
         let weight = |n: &usize| {
             let planner = self.fleet.planners().nth(*n).map_or("", |p| p.name.as_str());
             crate::version::digest(format!("{}\n{planner}", self.name).as_bytes())
@@ -299,12 +304,13 @@
 
     /// Spans for this planner.
     fn spans_for(&self, planner: usize, now: Micros) -> Vec<Report> {
-        let mut spans = self.recorder.behind(self.planners[planner].acked, REPORTS_AT_ONCE);
+        let mut spans = self.recorder.reports_after(self.planners[planner].acked, REPORTS_AT_ONCE);
         let Some(paced) = self.fleet.paced.filter(|p| p.spans == Spans::Home) else { return spans };
         if self.home() != Some(planner) {
             let waits = HOME_FOR.0.max(HOME_FOR.1 * paced.pace);
             // Danger: a home planner that answers and then dies, or that no other reaches, must not be the only one to know.
-            let keeps = |r: &Report| now.saturating_sub(r.span.to) > waits && !mutant::is("spans-to-nobody");
+            let keeps =
+                |r: &Report| now.saturating_sub(r.span.to) > waits && !mutant::active("spans-to-nobody");
             spans.retain(keeps);
         }
         spans
@@ -330,7 +336,7 @@
             return Stance::Out;
         }
         let until = self.leased_until();
-        if now < until || mutant::is("lease-unchecked") && self.held {
+        if now < until || mutant::active("lease-unchecked") && self.held {
             return Stance::Open;
         }
         // A front that has just started goes by its own sources until its first lease could have come.
@@ -347,47 +353,50 @@
 
     /// Whether a new request may be taken. A narrowed front whose own list was not confirmed for long has no ground to send
     /// anything on: every machine may be draining.
-    pub fn takes(&self, now: Micros) -> bool {
+    pub fn admits_requests(&self, now: Micros) -> bool {
         match self.stance(now) {
             Stance::Open | Stance::Alone => true,
             Stance::Narrowed => {
                 self.heard_list.is_none_or(|at| now.saturating_sub(at) <= self.fleet.list_within)
             }
-            Stance::Out => mutant::is("out-still-serves"),
+            Stance::Out => mutant::active("out-still-serves"),
         }
     }
 
     /// The build on trial, if one is.
-    pub fn on_trial(&self) -> Option<u16> {
-        self.version().news.filter(|n| n.phase != 1).map(|n| n.build)
+    pub fn build_on_trial(&self) -> Option<u16> {
+        self.version().rollout.filter(|n| n.phase != 1).map(|n| n.build)
     }
 
     /// By what machines are left out now: while it is the same, so is [`Self::leaves_out`] for every machine and build.
-    pub fn taken_away(&self, now: Micros) -> TakenAway {
+    pub fn restrictions(&self, now: Micros) -> Restrictions {
         let narrowed = self.stance(now) == Stance::Narrowed;
-        TakenAway {
-            trial: self.on_trial().filter(|_| narrowed),
+        Restrictions {
+            trial: self.build_on_trial().filter(|_| narrowed),
             list: self.reconciled_list.as_ref().map(|r| (r.epoch, r.index, r.digest)),
         }
     }
 
     /// Whether nothing may be sent to this machine of this build now, whatever its own sources say.
-    pub fn leaves_out(&self, now: Micros, machine: u32, build: u16) -> bool {
-        if self.stance(now) == Stance::Narrowed && self.on_trial().is_some_and(|trial| build >= trial) {
+    pub fn excludes(&self, now: Micros, machine: u32, build: u16) -> bool {
+        if self.stance(now) == Stance::Narrowed && self.build_on_trial().is_some_and(|trial| build >= trial) {
             return true;
         }
-        let listed = |b: &Ready| b.machines.binary_search(&(machine, build)).is_ok();
+        let listed = |b: &ReadyMachines| b.machines.binary_search(&(machine, build)).is_ok();
         self.reconciled_list.as_ref().is_some_and(|b| !listed(b))
     }
 
     /// News that planners brought, where it takes away from what its own source told.
-    pub fn narrower_news(&self) -> Option<News> {
-        self.reconciled_news
+    pub fn restricting_rollout(&self) -> Option<RolloutStatus> {
+        self.reconciled_rollout
     }
 
     /// When its list was last confirmed by discovery, if it ever was.
     fn ages(&self, now: Micros) -> Ages {
-        Ages { list: now - self.heard_list.unwrap_or(0).min(now), news: now.saturating_sub(self.heard_news) }
+        Ages {
+            list: now - self.heard_list.unwrap_or(0).min(now),
+            rollout: now.saturating_sub(self.rollout_heard_at),
+        }
     }
 
     /// Its heartbeat for a planner now.
@@ -407,7 +416,7 @@
                     None => own.unwrap_or_default(),
                 },
                 wants_whole: self.asking.is_some_and(|a| a.0 == planner),
-                delta: held.filter(lags).and_then(|held| self.ready.since(&held, 1)),
+                delta: held.filter(lags).and_then(|held| self.ready.delta_since(&held, 1)),
             }
         });
         let telling = self.fleet.paced.map(|_| self.telling(now));
@@ -417,10 +426,10 @@
         // What hurried it is said now, or goes on to hurry from here.
         (at.last, at.hurry) = (Some(now), None);
         at.saying = telling.map(|t| (at.sent, t));
-        let told = at.knows == (list.index, list.digest) || at.knows.0 > list.index;
+        let told = at.known_list == (list.index, list.digest) || at.known_list.0 > list.index;
         let whole = if by_delta { at.wants_whole } else { !told };
         let mut shown = version;
-        if mutant::is("relay-called-own") {
+        if mutant::active("relay-called-own") {
             if let Some(reconciled) = &self.reconciled_list {
                 (shown.list.index, shown.list.digest) = (reconciled.index, reconciled.digest);
             }
@@ -436,14 +445,14 @@
             reconciled,
             stance,
             votes,
-            head: self.recorder.number(),
-            permit: self.holder.word(),
+            head: self.recorder.last_number(),
+            permit: self.holder.message(),
             reports,
-            ready: (whole && list.source == Source::Discovery).then(|| Ready {
+            ready: (whole && list.source == ListSource::Discovery).then(|| ReadyMachines {
                 index: list.index,
                 epoch: list.epoch,
                 digest: list.digest,
-                vouched: 1,
+                confirmations: 1,
                 machines: self.ready.machines().iter().map(|(m, b)| (*m, *b)).collect(),
             }),
             list: list_state,
@@ -452,25 +461,31 @@
     }
 
     /// A heartbeat has failed that was begun at `sent_at`.
-    pub fn failed(&mut self, planner: usize, sent_at: Micros) {
+    pub fn heartbeat_failed(&mut self, planner: usize, sent_at: Micros) {
         let at = &mut self.planners[planner];
         at.failed = Some(at.failed.unwrap_or(0).max(sent_at));
         self.asking = self.asking.filter(|a| a.0 != planner);
     }
 
     /// A planner has answered the heartbeat that was begun at `sent_at`.
-    pub fn answered(&mut self, planner: usize, sent_at: Micros, now: Micros, answer: Answer) -> Change {
+    pub fn heartbeat_answered(
+        &mut self,
+        planner: usize,
+        sent_at: Micros,
+        now: Micros,
+        answer: HeartbeatResponse,
+    ) -> ResponseEffect {
         let lease = answer.lease.min(self.fleet.lease);
         let at = &mut self.planners[planner];
         if answer.number <= at.answered || answer.number > at.sent {
-            return Change::default();
+            return ResponseEffect::default();
         }
         (at.answered, at.failed, at.vote) = (answer.number, None, answer.vote);
         // The lease counts from when its heartbeat was sent, by this front's own clock: that is before any planner granted it.
         at.until = if lease > 0 { sent_at + lease } else { 0 };
-        (at.acked, at.knows) = (answer.acked, answer.knows);
+        (at.acked, at.known_list) = (answer.acked, answer.known_list);
         at.steady = if at.echo.0 == answer.incarnation { at.steady.saturating_add(1) } else { 1 };
-        at.concerned = answer.again || answer.twin || answer.permit.is_some();
+        at.concerned = answer.refetch || answer.duplicate_name || answer.permit.is_some();
         if let Some((_, said)) = at.saying.take_if(|s| s.0 == answer.number) {
             at.told = Some(said);
         }
@@ -478,22 +493,26 @@
             answer.list.as_ref().map_or((None, false), |l| (Some(l.holds), l.wants_whole));
         at.echo = (answer.incarnation, answer.now);
         // By the clock of now, not of the heartbeat: it may have stood still in between.
-        let held = self.holder.word().map_or(0, |w| w.0);
-        let stands = answer.permit.as_ref().is_some_and(|p| p.number == held);
-        at.ended = if !stands && answer.granted >= held { held } else { 0 };
-        self.holder.shown(now, self.incarnation, answer.permit.as_ref(), self.fleet.lease / 2);
+        let held = self.holder.message().map_or(0, |w| w.0);
+        let still_shown = answer.permit.as_ref().is_some_and(|p| p.number == held);
+        at.ended = if !still_shown && answer.granted >= held { held } else { 0 };
+        self.holder.observe(now, self.incarnation, answer.permit.as_ref(), self.fleet.lease / 2);
         // Taken from it by name, or done in the eyes of a majority: there is nothing left to be out by.
         if self.planners.iter().filter(|p| held > 0 && p.ended == held).count() >= self.fleet.majority() {
-            self.holder.end(now);
+            self.holder.end_permit(now);
         }
         self.held |= sent_at < self.leased_until();
         // Kept until a majority has it, and every other planner that answers: those that don't get it from these.
         let mut acked: Vec<u64> = self.planners.iter().map(|p| p.acked).collect();
         acked.sort_unstable_by(|a, b| b.cmp(a));
         let answering = self.planners.iter().filter(|p| p.failed.is_none()).map(|p| p.acked).min();
-        self.recorder.drop_to(acked[self.fleet.majority() - 1].min(answering.unwrap_or(0)));
-        let mut change = Change { narrowed: false, again: answer.again, twin: answer.twin };
-        if mutant::is("relay-ignored") {
+        self.recorder.discard_through(acked[self.fleet.majority() - 1].min(answering.unwrap_or(0)));
+        let mut change = ResponseEffect {
+            restricted: false,
+            refetch: answer.refetch,
+            duplicate_name: answer.duplicate_name,
+        };
+        if mutant::active("relay-ignored") {
             return change;
         }
         let own = self.version();
@@ -509,7 +528,7 @@
                 .iter()
                 .filter(|(m, b)| ready.machines.binary_search(&(**m, **b)).is_ok())
                 .count();
-            if newer && !held && 2 * left < self.ready.machines().len() && ready.vouched < 2 {
+            if newer && !held && 2 * left < self.ready.machines().len() && ready.confirmations < 2 {
                 self.refused_shrink += 1;
             } else if newer && !held {
                 if self.by_delta() {
@@ -517,29 +536,35 @@
                     self.relayed.replace(name, ready.machines.iter().copied().collect());
                 }
                 self.reconciled_list = Some(ready);
-                change.narrowed = true;
+                change.restricted = true;
             }
         }
-        if let (Some(news), Some(told)) = (answer.news, own.news) {
-            let narrower = self.reconciled_news.is_none_or(|b| news.narrows(&b));
-            if news.narrows(&told) && narrower {
-                self.reconciled_news = Some(news);
-                change.narrowed = true;
+        if let (Some(rollout), Some(told)) = (answer.rollout, own.rollout) {
+            let narrower = self.reconciled_rollout.is_none_or(|b| rollout.is_narrower_than(&b));
+            if rollout.is_narrower_than(&told) && narrower {
+                self.reconciled_rollout = Some(rollout);
+                change.restricted = true;
             }
         }
         change
     }
 
     /// The machines behind a delta, from whichever list here it is against.
-    fn bridged(&self, delta: &Delta) -> Result<Vec<(u32, u16)>, Unfit> {
-        let broken = mutant::is("delta-on-any-base");
+    fn bridged(&self, delta: &Delta) -> Result<Vec<(u32, u16)>, DeltaError> {
+        let broken = mutant::active("delta-on-any-base");
         let relayed = self.reconciled_list.is_some() && self.relayed.base() == delta.base && !broken;
-        if relayed { &self.relayed } else { &self.ready }.with(delta)
+        if relayed { &self.relayed } else { &self.ready }.machines_after(delta)
     }
 
     /// A planner's list from what its answer says of it, where it is newer and a delta fits; where none does, the whole is
     /// asked for, of one planner at a time.
-    fn told_list(&mut self, planner: usize, now: Micros, list: ListState, came: bool) -> Option<Ready> {
+    fn told_list(
+        &mut self,
+        planner: usize,
+        now: Micros,
+        list: ListState,
+        came: bool,
+    ) -> Option<ReadyMachines> {
         let own = self.version().list;
         let known = self.reconciled_list.as_ref().map_or(0, |r| r.index).max(own.index);
         let lacks = list.holds.epoch == own.epoch && list.holds.index > known;
@@ -551,7 +576,13 @@
             let delta = list.delta?;
             self.asking = None;
             let (index, epoch, digest) = (delta.to.index, delta.to.epoch, delta.to.digest);
-            return Some(Ready { index, epoch, digest, vouched: delta.vouched, machines });
+            return Some(ReadyMachines {
+                index,
+                epoch,
+                digest,
+                confirmations: delta.confirmations,
+                machines,
+            });
         }
         let over = |(_, since): (usize, Micros)| now.saturating_sub(since) > ASK_FOR * self.fleet.renew;
         if self.asking.is_none_or(over) {
--- a/crates/yarrowspoke-fleet/src/pace.rs
+++ b/crates/yarrowspoke-fleet/src/heartbeat_schedule.rs
@@ -7,7 +7,7 @@
 
 /// One planner, as the pace sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Beat {
+pub struct PlannerSchedule {
     /// When the last heartbeat to it was begun, if one ever was.
     pub last: Option<Micros>,
     /// Since when something is there that must not wait for the pace.
@@ -21,7 +21,7 @@
 
 /// When the heartbeat to planner `n` is due. `draw` spreads those that many fronts owe to one change; none comes later than a
 /// renewal after what hurries it, nor later than the pace after the one before.
-pub fn due(beats: &[Beat], n: usize, (renew, pace): (Micros, Micros), draw: u64) -> Micros {
+pub fn next_due(beats: &[PlannerSchedule], n: usize, (renew, pace): (Micros, Micros), draw: u64) -> Micros {
     let Some(beat) = beats.get(n) else { return Micros::MAX };
     let Some(last) = beat.last else { return 0 };
     if let Some(since) = beat.hurry {
--- a/crates/yarrowspoke-fleet/src/lib.rs
+++ b/crates/yarrowspoke-fleet/src/lib.rs
@@ -9,14 +9,14 @@
 //! what a front hears from a planner takes something away; what gives more comes from the front's own sources. *A silent
 //! holder still holds*: a slot taken by a front that went silent stays counted until that front is seen in service.
 
-pub mod agreed;
 pub mod audit;
-pub mod book;
 pub mod delta;
 pub mod front;
+pub mod heartbeat_schedule;
 pub mod mutant;
-pub mod pace;
+pub mod permits;
 pub mod planner;
+pub mod report_log;
 pub mod settings;
 pub mod span;
 pub mod version;
--- a/crates/yarrowspoke-fleet/src/mutant.rs
+++ b/crates/yarrowspoke-fleet/src/mutant.rs
@@ -24,7 +24,7 @@
 ];
 
 /// Puts one on for the rest of the process; false if there is none of this name, or this build has none.
-pub fn put_on(name: &str) -> bool {
+pub fn enable(name: &str) -> bool {
     #[cfg(feature = "mutants")]
     if ALL.contains(&name) {
         return ON.set(name.to_owned()).is_ok();
@@ -35,7 +35,7 @@
 
 /// Whether this one is on.
 #[inline]
-pub(crate) fn is(name: &str) -> bool {
+pub(crate) fn active(name: &str) -> bool {
     #[cfg(feature = "mutants")]
     return ON.get().is_some_and(|on| on == name);
     #[cfg(not(feature = "mutants"))]
@@ -46,6 +46,6 @@
 }
 
 /// Whether this one is on; for the few that sit where messages are carried out.
-pub fn on(name: &str) -> bool {
-    is(name)
+pub fn is_active(name: &str) -> bool {
+    active(name)
 }
--- a/crates/yarrowspoke-fleet/src/agreed.rs
+++ b/crates/yarrowspoke-fleet/src/permits.rs
@@ -6,7 +6,7 @@
 //! open, and so does a front that is lost by itself: planned work waits for it.
 
 use crate::mutant;
-use crate::settings::Most;
+use crate::settings::Limit;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,22 +21,29 @@
     /// How many planners are a majority.
     pub majority: usize,
     /// Most out of all.
-    pub most: usize,
+    #[serde(rename = "most")]
+    pub max_out: usize,
     /// Most out of each zone.
-    pub most_of_zone: BTreeMap<String, usize>,
+    #[serde(rename = "most_of_zone")]
+    pub max_out_by_zone: BTreeMap<String, usize>,
 }
 
 impl Limits {
     /// Those of a fleet's settings.
-    pub fn of(fleet: &crate::settings::Fleet) -> Self {
+    pub fn from_settings(fleet: &crate::settings::Fleet) -> Self {
         let fronts: BTreeMap<String, String> =
             fleet.fronts().map(|m| (m.name.clone(), m.zone.clone())).collect();
-        let of = |most: Most, n| most.of(n);
+        let of = |limit: Limit, n| limit.resolve(n);
         let zones: BTreeSet<&String> = fronts.values().collect();
         let in_zone = |z: &String| fronts.values().filter(|y| *y == z).count();
-        let most_of_zone =
+        let max_out_by_zone =
             zones.into_iter().map(|z| (z.clone(), of(fleet.most_out_zone, in_zone(z)))).collect();
-        Self { majority: fleet.majority(), most: of(fleet.most_out, fronts.len()), most_of_zone, fronts }
+        Self {
+            majority: fleet.majority(),
+            max_out: of(fleet.most_out, fronts.len()),
+            max_out_by_zone,
+            fronts,
+        }
     }
 }
 
@@ -83,7 +90,8 @@
         /// In whose name.
         by: String,
         /// The count of orders known; `None` for those that no other order can spoil.
-        knows: Option<u64>,
+        #[serde(rename = "knows")]
+        known_orders: Option<u64>,
         /// Names the order, so that whoever gave it finds what became of it.
         ticket: u64,
     },
@@ -151,7 +159,8 @@
     },
     /// No such front.
     #[error("no front {0}")]
-    Nobody(String),
+    #[serde(rename = "Nobody")]
+    UnknownFront(String),
     /// It holds no permit, or not this one.
     #[error("{0} holds no such permit")]
     NoPermit(String),
@@ -159,17 +168,19 @@
 
 /// The agreed state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Agreed {
+pub struct PermitState {
     /// Orders that were followed.
     pub orders: u64,
     /// Why nothing new goes out, and who said so.
     pub halted: Option<(String, String)>,
     /// What waits, in the order in which it came: front, incarnation, cause.
-    pub waits: Vec<(String, u64, String)>,
+    #[serde(rename = "waits")]
+    pub waiting: Vec<(String, u64, String)>,
     /// Permits by front.
     pub permits: BTreeMap<String, Permit>,
     /// The last permit's number.
-    pub last: u64,
+    #[serde(rename = "last")]
+    pub last_permit_number: u64,
     /// The limits.
     pub limits: Limits,
     /// By planner, the fronts that it does not hear.
@@ -178,9 +189,9 @@
     pub outcomes: Vec<(u64, Option<Refusal>, String)>,
 }
 
-impl Agreed {
+impl PermitState {
     /// Fronts that a majority of planners does not hear.
-    pub fn lost(&self) -> BTreeSet<&str> {
+    pub fn lost_fronts(&self) -> BTreeSet<&str> {
         let all = self.limits.fronts.keys().map(String::as_str);
         let unheard =
             |f: &&str| self.views.values().filter(|v| v.contains(*f)).count() >= self.limits.majority.max(1);
@@ -189,17 +200,17 @@
 
     /// Whether one more front of this name may be out.
     fn has_room(&self, front: &str) -> bool {
-        let (mut lost, limits) = (self.lost(), &self.limits);
-        if mutant::is("unplanned-not-counted") {
+        let (mut lost, limits) = (self.lost_fronts(), &self.limits);
+        if mutant::active("unplanned-not-counted") {
             lost.clear();
         }
         let Some(zone) = limits.fronts.get(front) else { return false };
         let out: BTreeSet<&str> = lost.into_iter().chain(self.permits.keys().map(String::as_str)).collect();
         let of_zone = out.iter().filter(|f| limits.fronts.get(**f) == Some(zone)).count();
         !out.contains(front)
-            && (out.len() < limits.most || mutant::is("limit-forgotten"))
-            && (of_zone < limits.most_of_zone.get(zone).copied().unwrap_or(0)
-                || mutant::is("zone-limit-forgotten"))
+            && (out.len() < limits.max_out || mutant::active("limit-forgotten"))
+            && (of_zone < limits.max_out_by_zone.get(zone).copied().unwrap_or(0)
+                || mutant::active("zone-limit-forgotten"))
     }
 
     /// Applies an entry.
@@ -207,8 +218,8 @@
         match entry {
             // Given again because nobody answered in time: one deed.
             Entry::Order { ticket, .. } if self.outcomes.iter().any(|o| o.0 == *ticket) => {}
-            Entry::Order { order, by, knows, ticket } => {
-                let refused = knows
+            Entry::Order { order, by, known_orders, ticket } => {
+                let refused = known_orders
                     .filter(|k| *k != self.orders)
                     .map(|planned| Refusal::Moved { planned, now: self.orders })
                     .or_else(|| self.follow(order, by).err());
@@ -241,16 +252,16 @@
         match order {
             Order::Out { front, incarnation, cause } => {
                 if !self.limits.fronts.contains_key(front) {
-                    return Err(Refusal::Nobody(front.clone()));
+                    return Err(Refusal::UnknownFront(front.clone()));
                 }
                 // Asking twice is asking once; a later incarnation's wish takes the place of an earlier one's.
-                self.waits.retain(|w| w.0 != *front);
+                self.waiting.retain(|w| w.0 != *front);
                 if !self.permits.contains_key(front) {
-                    self.waits.push((front.clone(), *incarnation, cause.clone()));
+                    self.waiting.push((front.clone(), *incarnation, cause.clone()));
                 }
             }
             Order::In { front } => {
-                self.waits.retain(|w| w.0 != *front);
+                self.waiting.retain(|w| w.0 != *front);
                 let Some(permit) = self.permits.get_mut(front) else {
                     return Err(Refusal::NoPermit(front.clone()));
                 };
@@ -265,7 +276,7 @@
                 let idle = self.permits.iter().filter(|p| p.1.phase == Phase::Granted);
                 let idle: Vec<_> = idle.map(|(f, p)| (f.clone(), p.incarnation, p.cause.clone())).collect();
                 idle.iter().for_each(|w| drop(self.permits.remove(&w.0)));
-                self.waits.splice(0..0, idle);
+                self.waiting.splice(0..0, idle);
             }
             Order::Resume => self.halted = None,
             Order::Free { front, number } => {
@@ -279,16 +290,16 @@
     }
 
     fn grant(&mut self) {
-        if self.halted.is_some() && !mutant::is("halt-ignored") {
+        if self.halted.is_some() && !mutant::active("halt-ignored") {
             return;
         }
-        for (front, incarnation, cause) in std::mem::take(&mut self.waits) {
+        for (front, incarnation, cause) in std::mem::take(&mut self.waiting) {
             if self.has_room(&front) {
-                self.last += 1;
-                let (number, phase) = (self.last, Phase::Granted);
+                self.last_permit_number += 1;
+                let (number, phase) = (self.last_permit_number, Phase::Granted);
                 self.permits.insert(front, Permit { number, incarnation, phase, cause });
             } else {
-                self.waits.push((front, incarnation, cause));
+                self.waiting.push((front, incarnation, cause));
             }
         }
     }
@@ -296,60 +307,70 @@
 
 /// What a front says of its permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Word {
+pub enum PermitMessage {
     /// It asks to take it up.
-    Asks,
+    #[serde(rename = "Asks")]
+    Request,
     /// It is out.
     Out,
     /// It is in service again.
     In,
     /// It came too late, or for another incarnation.
-    Declines,
+    #[serde(rename = "Declines")]
+    Decline,
 }
 
 /// A holder's side of a permit. Danger: a permit that comes late, twice, or from a planner that lost touch must not be used:
 /// it is taken up only while it is young by the holder's own clock, for this incarnation, and once.
 #[derive(Clone, Debug, Default)]
-pub struct Holder {
-    held: Option<(u64, Word, crate::Micros)>,
+pub struct PermitHolder {
+    held: Option<(u64, PermitMessage, crate::Micros)>,
 }
 
-impl Holder {
+impl PermitHolder {
     /// A planner shows this front's permit, or that there is none; `within` is how long a permit asked for may be taken up.
-    pub fn shown(&mut self, now: crate::Micros, mine: u64, permit: Option<&Permit>, within: crate::Micros) {
+    pub fn observe(&mut self, now: crate::Micros, mine: u64, permit: Option<&Permit>, within: crate::Micros) {
         let Some(p) = permit.filter(|p| p.incarnation == mine) else { return };
         let last = self.held.map_or(0, |h| h.0);
         match (p.phase, self.held) {
-            (Phase::Granted, _) if p.number > last => self.held = Some((p.number, Word::Asks, now)),
-            (Phase::Taken, Some((n, Word::Asks, since))) if n == p.number => {
-                let word = if now.saturating_sub(since) <= within { Word::Out } else { Word::Declines };
+            (Phase::Granted, _) if p.number > last => {
+                self.held = Some((p.number, PermitMessage::Request, now))
+            }
+            (Phase::Taken, Some((n, PermitMessage::Request, since))) if n == p.number => {
+                let word = if now.saturating_sub(since) <= within {
+                    PermitMessage::Out
+                } else {
+                    PermitMessage::Decline
+                };
                 self.held = Some((n, word, now));
             }
-            (Phase::Returning, Some((n, Word::Asks | Word::Out, _))) if n == p.number => {
-                self.held = Some((n, Word::In, now));
+            (Phase::Returning, Some((n, PermitMessage::Request | PermitMessage::Out, _)))
+                if n == p.number =>
+            {
+                self.held = Some((n, PermitMessage::In, now));
             }
             // A permit taken by an incarnation of this name that is not this one's doing.
             (Phase::Taken | Phase::Returning, _) if p.number > last => {
-                self.held = Some((p.number, Word::Declines, now));
+                self.held = Some((p.number, PermitMessage::Decline, now));
             }
             _ => {}
         }
     }
 
     /// Its permit is no more.
-    pub fn end(&mut self, now: crate::Micros) {
-        if let Some((number, Word::Out, _)) = self.held {
-            self.held = Some((number, Word::In, now));
+    pub fn end_permit(&mut self, now: crate::Micros) {
+        if let Some((number, PermitMessage::Out, _)) = self.held {
+            self.held = Some((number, PermitMessage::In, now));
         }
     }
 
     /// Whether it is out by a permit.
     pub fn is_out(&self) -> bool {
-        matches!(self.held, Some((_, Word::Out, _)))
+        matches!(self.held, Some((_, PermitMessage::Out, _)))
     }
 
     /// What it tells planners.
-    pub fn word(&self) -> Option<(u64, Word)> {
+    pub fn message(&self) -> Option<(u64, PermitMessage)> {
         self.held.map(|h| (h.0, h.1))
     }
 }
--- a/crates/yarrowspoke-fleet/src/planner.rs
+++ b/crates/yarrowspoke-fleet/src/planner.rs
@@ -1,13 +1,16 @@
 //! A planner's side: who is there, who is behind, who gets a lease and who is to be out.
 
-use crate::agreed::{Permit, Word};
-use crate::book::{Book, Contradiction};
-use crate::delta::{Delta, Listed};
+use crate::delta::{Delta, MachineList};
 use crate::mutant;
+use crate::permits::{Permit, PermitMessage};
+use crate::report_log::{Contradiction, ReportLog};
 use crate::settings::{Fleet, Role};
 use crate::span::Stance;
-use crate::version::{News, Source, Standing, Version};
-use crate::wire::{Answer, Heard, Heartbeat, ListState, Pull, Pushed, Ready, Refused, Slot, REPORTS_AT_ONCE};
+use crate::version::{ListSource, RolloutStatus, Version, VersionOrder};
+use crate::wire::{
+    FrontSighting, Heartbeat, HeartbeatResponse, ListState, MessageError, Pull, PullResponse, ReadyMachines,
+    Slot, REPORTS_AT_ONCE,
+};
 use crate::Micros;
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -63,7 +66,7 @@
     flips: Vec<Micros>,
     /// The highest heartbeat number of each earlier incarnation.
     past: BTreeMap<u64, u64>,
-    marks: Vec<(Micros, Step)>,
+    step_history: Vec<(Micros, Step)>,
 }
 
 /// A slot given away by this planner.
@@ -84,17 +87,17 @@
     incarnation: u64,
     begun: Micros,
     /// The merged record.
-    pub book: Book,
+    pub report_log: ReportLog,
     fronts: BTreeMap<String, Known>,
     votes: BTreeMap<String, Vote>,
     cool: BTreeMap<String, Micros>,
-    ready: Option<Ready>,
+    ready: Option<ReadyMachines>,
     /// The same with the steps by which it came about, so that a delta can be told.
-    listed: Listed,
+    listed: MachineList,
     /// Whose whole list was asked for, and when: one front's at a time, as all have the same.
     asked: Option<(String, Micros)>,
     /// What other planners last said of each front, and when that came.
-    elsewhere: BTreeMap<String, BTreeMap<String, (Micros, Heard)>>,
+    elsewhere: BTreeMap<String, BTreeMap<String, (Micros, FrontSighting)>>,
     refused: BTreeMap<String, u64>,
     permits: BTreeMap<String, Permit>,
     granted: u64,
@@ -130,11 +133,13 @@
     /// Where it is to be out: acknowledged, lapsed, or ordered and not confirmed.
     pub out: Option<&'static str>,
     /// Two processes under its name.
-    pub twin: bool,
+    #[serde(rename = "twin")]
+    pub duplicate_name: bool,
     /// Spans closed by it that are not here.
     pub missing: u64,
     /// Steps of the ladder lately: milliseconds ago, and which.
-    pub marks: Vec<(u64, Step)>,
+    #[serde(rename = "marks")]
+    pub step_history: Vec<(u64, Step)>,
 }
 
 /// What a planner knows, for operators.
@@ -160,18 +165,18 @@
 
 impl Planner {
     /// A planner that starts now; `book` is what it kept.
-    pub fn new(fleet: Fleet, name: &str, incarnation: u64, now: Micros, book: Book) -> Self {
+    pub fn new(fleet: Fleet, name: &str, incarnation: u64, now: Micros, report_log: ReportLog) -> Self {
         Self {
             fleet,
             name: name.to_owned(),
             incarnation,
             begun: now,
-            book,
+            report_log,
             fronts: BTreeMap::new(),
             votes: BTreeMap::new(),
             cool: BTreeMap::new(),
             ready: None,
-            listed: Listed::default(),
+            listed: MachineList::default(),
             asked: None,
             elsewhere: BTreeMap::new(),
             refused: BTreeMap::new(),
@@ -186,7 +191,7 @@
     }
 
     /// The permits agreed on, to be shown to their holders, and the highest number given.
-    pub fn show(&mut self, now: Micros, permits: &BTreeMap<String, Permit>, granted: u64) {
+    pub fn set_permits(&mut self, now: Micros, permits: &BTreeMap<String, Permit>, granted: u64) {
         self.granted = granted;
         self.permits_since.retain(|n, _| permits.values().any(|p| p.number == *n));
         for permit in permits.values() {
@@ -203,7 +208,7 @@
     }
 
     /// Fronts out of service without a permit: not heard, or quarantined for being behind.
-    pub fn lost(&self, now: Micros) -> BTreeSet<String> {
+    pub fn lost_fronts(&self, now: Micros) -> BTreeSet<String> {
         let by_itself = |name: &str| match self.fronts.get(name) {
             Some(k) if self.is_live(k, now) => {
                 k.heartbeat.stance == Stance::Out && !self.permits.contains_key(name)
@@ -214,73 +219,81 @@
     }
 
     /// Whether this planner has run for long enough to know whom it does not hear.
-    pub fn knows(&self, now: Micros) -> bool {
-        now.saturating_sub(self.begun) > self.fleet.lease_held()
+    pub fn is_warmed_up(&self, now: Micros) -> bool {
+        now.saturating_sub(self.begun) > self.fleet.lease_upper_bound()
     }
 
     /// The incarnation of a front that is heard, and whether that incarnation is in service and current.
-    pub fn incarnation(&self, front: &str, now: Micros) -> Option<(u64, bool)> {
+    pub fn live_incarnation(&self, front: &str, now: Micros) -> Option<(u64, bool)> {
         let known = self.fronts.get(front).filter(|k| self.is_live(k, now))?;
         let sound = known.fresh >= FRESH
             && known.behind_since.is_none()
             && matches!(known.heartbeat.stance, Stance::Open)
-            && !self.is_twin(known, now);
+            && !self.has_duplicate_name(known, now);
         Some((known.incarnation, sound))
     }
 
     /// Whether a holder was seen in service in another incarnation than the one that holds this permit. Danger: this
     /// planner may not have heard yet of the incarnation that holds it, and take the one before it, dead by now, for the
     /// one that came after; so it has to have been alive since the permit was known here.
-    pub fn came_back(&self, front: &str, permit: &Permit, now: Micros) -> bool {
+    pub fn has_returned(&self, front: &str, permit: &Permit, now: Micros) -> bool {
         let since = self.permits_since.get(&permit.number).copied();
         let heard = self.fronts.get(front).and_then(|k| k.heard);
         let after = since.zip(heard).is_some_and(|(since, heard)| heard > since);
-        after && self.incarnation(front, now).is_some_and(|l| l.0 != permit.incarnation && l.1)
+        after && self.live_incarnation(front, now).is_some_and(|l| l.0 != permit.incarnation && l.1)
     }
 
     /// What fronts heard lately say of their permits: front, incarnation, number, word.
-    pub fn words(&self, now: Micros) -> Vec<(String, u64, u64, Word)> {
+    pub fn permit_messages(&self, now: Micros) -> Vec<(String, u64, u64, PermitMessage)> {
         let live = self.fronts.iter().filter(|(_, k)| self.is_live(k, now));
         live.filter_map(|(f, k)| k.heartbeat.permit.map(|(n, w)| (f.clone(), k.incarnation, n, w))).collect()
     }
 
     /// Counts a refusal by its reason.
-    pub fn count_refused(&mut self, why: &Refused) {
+    pub fn count_rejected(&mut self, why: &MessageError) {
         *self.refused.entry(why.to_string()).or_default() += 1;
     }
 
     fn is_live(&self, known: &Known, now: Micros) -> bool {
-        known.heard.is_some_and(|at| now.saturating_sub(at) <= self.fleet.lease_held())
+        known.heard.is_some_and(|at| now.saturating_sub(at) <= self.fleet.lease_upper_bound())
     }
 
     /// Fronts, this one aside, that act on something newer; only those heard lately, so that all behind together are not
     /// behind each other.
     fn is_behind(&self, front: &str, version: &Version, now: Micros) -> bool {
         let others = self.fronts.iter().filter(|(name, k)| *name != front && self.is_live(k, now));
-        others.into_iter().any(|(_, k)| version.stands(&k.heartbeat.version).contains(&Standing::Older))
+        others.into_iter().any(|(_, k)| version.compare(&k.heartbeat.version).contains(&VersionOrder::Older))
     }
 
     /// Takes a front's heartbeat, and answers it.
-    pub fn take(&mut self, now: Micros, heartbeat: Heartbeat) -> Result<Answer, Refused> {
-        let done = self.take_checked(now, heartbeat);
+    pub fn handle_heartbeat(
+        &mut self,
+        now: Micros,
+        heartbeat: Heartbeat,
+    ) -> Result<HeartbeatResponse, MessageError> {
+        let done = self.handle_valid_heartbeat(now, heartbeat);
         if let Err(why) = &done {
-            self.count_refused(why);
+            self.count_rejected(why);
         }
         done
     }
 
-    fn take_checked(&mut self, now: Micros, mut heartbeat: Heartbeat) -> Result<Answer, Refused> {
+    fn handle_valid_heartbeat(
+        &mut self,
+        now: Micros,
+        mut heartbeat: Heartbeat,
+    ) -> Result<HeartbeatResponse, MessageError> {
         if self.fleet.member(&heartbeat.front).is_none_or(|m| m.role != Role::Front) {
-            return Err(Refused::Stranger(heartbeat.front));
+            return Err(MessageError::UnknownSender(heartbeat.front));
         }
         if heartbeat.reports.len() > REPORTS_AT_ONCE {
-            return Err(Refused::Many(heartbeat.reports.len()));
+            return Err(MessageError::TooManyReports(heartbeat.reports.len()));
         }
         // All or nothing: of a heartbeat with a report that can't be, nothing is believed.
-        heartbeat.reports.iter().try_for_each(Book::check)?;
+        heartbeat.reports.iter().try_for_each(ReportLog::check)?;
         let oldest = heartbeat.reports.iter().map(|r| r.first).min();
         for report in std::mem::take(&mut heartbeat.reports) {
-            self.book.insert(&heartbeat.front, heartbeat.incarnation, report)?;
+            self.report_log.insert(&heartbeat.front, heartbeat.incarnation, report)?;
         }
         // What a majority acknowledged and lost before it was on disk is nowhere: waiting for it would have the front send the
         // same oldest reports for ever, and nothing newer. A front keeps the newest without a hole and sends the oldest of
@@ -290,17 +303,17 @@
         // heartbeat does no harm: acknowledgements of one incarnation only rise, and what a front has dropped stays dropped.
         // So no front forgets a span for this that a majority has not: it has none left of those that are passed over.
         if let Some(oldest) = oldest.filter(|_| heartbeat.echo.0 == self.incarnation) {
-            self.book.kept_from(&heartbeat.front, heartbeat.incarnation, oldest);
+            self.report_log.set_oldest_retained(&heartbeat.front, heartbeat.incarnation, oldest);
         }
-        self.book.head(&heartbeat.front, heartbeat.incarnation, heartbeat.head);
+        self.report_log.record_head(&heartbeat.front, heartbeat.incarnation, heartbeat.head);
         self.learn_list(heartbeat.ready.take());
         let mut told = heartbeat.list.take();
         if let Some(delta) = told.as_mut().and_then(|l| l.delta.take()) {
             self.learn_delta(&delta);
         }
         let (front, number) = (heartbeat.front.clone(), heartbeat.number);
-        let acked = self.book.acked(&front, heartbeat.incarnation);
-        let mut answer = Answer {
+        let acked = self.report_log.acknowledged_through(&front, heartbeat.incarnation);
+        let mut answer = HeartbeatResponse {
             planner: self.name.clone(),
             incarnation: self.incarnation,
             number,
@@ -308,11 +321,11 @@
             acked,
             lease: 0,
             vote: None,
-            again: false,
+            refetch: false,
             ready: None,
-            news: None,
-            knows: self.ready.as_ref().map_or((0, 0), |r| (r.index, r.digest)),
-            twin: false,
+            rollout: None,
+            known_list: self.ready.as_ref().map_or((0, 0), |r| (r.index, r.digest)),
+            duplicate_name: false,
             permit: self.permits.get(&front).cloned(),
             granted: self.granted,
             list: None,
@@ -324,23 +337,26 @@
         self.judge(now, &front);
         let Some(known) = self.fronts.get(&front) else { return Ok(answer) };
         let version = known.heartbeat.version;
-        answer.twin = self.is_twin(known, now);
-        answer.again = known.behind_since.is_some();
-        answer.news = self.newest_news(&front, &version, now);
+        answer.duplicate_name = self.has_duplicate_name(known, now);
+        answer.refetch = known.behind_since.is_some();
+        answer.rollout = self.newest_rollout(&front, &version, now);
         let list = version.list;
-        let lacks = |r: &&Ready| {
+        let lacks = |r: &&ReadyMachines| {
             r.epoch == list.epoch && r.index > list.index && r.index > known.heartbeat.reconciled.0
         };
         let newer = self.ready.as_ref().filter(lacks);
         match (newer, &told, &mut answer.list) {
             (Some(ready), Some(told), Some(state)) => {
-                let vouched = self.vouched(ready);
-                state.delta = self.listed.since(&told.against, vouched);
+                let confirmations = self.confirmations(ready);
+                state.delta = self.listed.delta_since(&told.against, confirmations);
                 if told.wants_whole {
-                    answer.ready = Some(Ready { vouched, ..ready.clone() });
+                    answer.ready = Some(ReadyMachines { confirmations, ..ready.clone() });
                 }
             }
-            (Some(ready), ..) => answer.ready = Some(Ready { vouched: self.vouched(ready), ..ready.clone() }),
+            (Some(ready), ..) => {
+                answer.ready =
+                    Some(ReadyMachines { confirmations: self.confirmations(ready), ..ready.clone() })
+            }
             (None, ..) => {}
         }
         answer.vote = self.vote(now, &front);
@@ -357,7 +373,7 @@
 
     /// Notes a heartbeat; false if it is an old one come late, which tells nothing of now.
     fn hear(&mut self, now: Micros, heartbeat: Heartbeat) -> bool {
-        let span = 2 * self.fleet.lease_held();
+        let span = 2 * self.fleet.lease_upper_bound();
         let echoed = (heartbeat.echo.0 == self.incarnation).then_some(heartbeat.echo.1.min(now));
         let Some(known) = self.fronts.get_mut(&heartbeat.front) else {
             let (incarnation, number, front) =
@@ -374,7 +390,7 @@
                 fresh: 1,
                 flips: vec![],
                 past: BTreeMap::new(),
-                marks: vec![],
+                step_history: vec![],
             };
             self.fronts.insert(front, known);
             return true;
@@ -400,8 +416,8 @@
         true
     }
 
-    fn is_twin(&self, known: &Known, now: Micros) -> bool {
-        let span = 2 * self.fleet.lease_held();
+    fn has_duplicate_name(&self, known: &Known, now: Micros) -> bool {
+        let span = 2 * self.fleet.lease_upper_bound();
         known.flips.iter().filter(|at| now.saturating_sub(**at) <= span).count() >= FLIPS as usize
     }
 
@@ -420,7 +436,7 @@
     }
 
     /// A front's own list: the newest is kept.
-    fn learn_list(&mut self, told: Option<Ready>) {
+    fn learn_list(&mut self, told: Option<ReadyMachines>) {
         let Some(told) = told else { return };
         match &mut self.ready {
             Some(held) if (held.epoch, held.index) >= (told.epoch, told.index) => {}
@@ -440,7 +456,7 @@
         }
         let (to, machines) = (delta.to, self.listed.machines().iter().map(|(m, b)| (*m, *b)).collect());
         let (index, epoch, digest) = (to.index, to.epoch, to.digest);
-        self.ready = Some(Ready { index, epoch, digest, vouched: 1, machines });
+        self.ready = Some(ReadyMachines { index, epoch, digest, confirmations: 1, machines });
         self.asked = None;
     }
 
@@ -460,10 +476,10 @@
     }
 
     /// How many fronts were heard, here or at another planner, to hold this list from their own source.
-    fn vouched(&self, list: &Ready) -> u32 {
+    fn confirmations(&self, list: &ReadyMachines) -> u32 {
         let holds = |v: &Version| {
             let l = v.list;
-            l.source == Source::Discovery
+            l.source == ListSource::Discovery
                 && (l.epoch, l.index, l.digest) == (list.epoch, list.index, list.digest)
         };
         let here = self.fronts.iter().filter(|(_, k)| holds(&k.heartbeat.version)).map(|(name, _)| name);
@@ -473,15 +489,16 @@
     }
 
     /// News of a live front that takes away from what this one acts on.
-    fn newest_news(&self, front: &str, version: &Version, now: Micros) -> Option<News> {
-        let told = version.news?;
+    fn newest_rollout(&self, front: &str, version: &Version, now: Micros) -> Option<RolloutStatus> {
+        let told = version.rollout?;
         let live = self.fronts.iter().filter(|(n, k)| *n != front && self.is_live(k, now));
         let by_hearsay = self.elsewhere.values().flat_map(|m| m.values());
-        let hearsay = by_hearsay.filter(|(at, h)| now.saturating_sub(*at) + h.ago <= self.fleet.lease_held());
-        let all = live.filter_map(|(_, k)| k.heartbeat.version.news);
-        let all = all.chain(hearsay.filter_map(|(_, h)| h.version.news));
-        let narrower = all.filter(|n| n.narrows(&told) && n.stands(&told) != Standing::Older);
-        narrower.reduce(|a, b| if b.narrows(&a) { b } else { a })
+        let hearsay =
+            by_hearsay.filter(|(at, h)| now.saturating_sub(*at) + h.age <= self.fleet.lease_upper_bound());
+        let all = live.filter_map(|(_, k)| k.heartbeat.version.rollout);
+        let all = all.chain(hearsay.filter_map(|(_, h)| h.version.rollout));
+        let narrower = all.filter(|n| n.is_narrower_than(&told) && n.compare(&told) != VersionOrder::Older);
+        narrower.reduce(|a, b| if b.is_narrower_than(&a) { b } else { a })
     }
 
     /// The slot that a front is voted into, after what its last heartbeat says of earlier ones.
@@ -499,7 +516,7 @@
             }
             Some(vote) if vote.incarnation != known.incarnation => {
                 // The incarnation that was voted out is over only once another has spoken for a while.
-                if known.fresh >= FRESH && !self.is_twin(&known, now) {
+                if known.fresh >= FRESH && !self.has_duplicate_name(&known, now) {
                     self.votes.remove(front);
                 }
             }
@@ -510,7 +527,7 @@
                 let back =
                     known.current_since.is_some_and(|at| now.saturating_sub(at) >= self.fleet.back_after);
                 let counted = |p: &Slot| known.heartbeat.votes.iter().flatten().filter(|v| *v == p).count();
-                let waited = now.saturating_sub(vote.since) > self.fleet.lease_held();
+                let waited = now.saturating_sub(vote.since) > self.fleet.lease_upper_bound();
                 let unmet = waited
                     && known.heartbeat.stance != Stance::Out
                     && counted(&vote.slot) < self.fleet.majority();
@@ -530,9 +547,9 @@
         }
         let due = known.behind_since.is_some_and(|at| now.saturating_sub(at) > self.fleet.shut_after);
         // A planner that has just started may have voted before: those that it voted for tell it, once they are heard.
-        let knows = self.knows(now);
+        let warmed_up = self.is_warmed_up(now);
         let cools = self.cool.get(front).is_some_and(|until| now < *until);
-        if !due || !knows || cools {
+        if !due || !warmed_up || cools {
             return None;
         }
         let slot = self.slot_for(now, front, &known)?;
@@ -558,8 +575,9 @@
                 .map(|m| m.name.as_str())
                 .filter(|n| whole || zone_of(n) == zone)
                 .collect();
-            let most = if whole { self.fleet.most_out } else { self.fleet.most_out_zone }.of(group.len());
-            let forgotten = mutant::is(if whole { "limit-forgotten" } else { "zone-limit-forgotten" });
+            let most =
+                if whole { self.fleet.most_out } else { self.fleet.most_out_zone }.resolve(group.len());
+            let forgotten = mutant::active(if whole { "limit-forgotten" } else { "zone-limit-forgotten" });
             let most = if forgotten { group.len() } else { most };
             let lost = if forgotten { 0 } else { group.iter().filter(|n| **n != front && silent(n)).count() };
             let votes = group.iter().filter_map(|n| self.votes.get(*n));
@@ -578,7 +596,7 @@
 
     fn lapsed_here(&self, front: &str, now: Micros) -> bool {
         let Some(known) = self.fronts.get(front) else { return false };
-        let over = known.granted.is_none_or(|at| now.saturating_sub(at) > self.fleet.lease_held());
+        let over = known.granted.is_none_or(|at| now.saturating_sub(at) > self.fleet.lease_upper_bound());
         over && (self.votes.contains_key(front) || !self.is_live(known, now))
     }
 
@@ -587,14 +605,15 @@
         let planners = self.fleet.planners().count();
         let needed = planners - self.fleet.majority() + 1;
         let others = self.elsewhere.values().filter_map(|m| m.get(front));
-        let fresh = others.filter(|(at, h)| h.lapsed && now.saturating_sub(*at) <= self.fleet.lease_held());
+        let fresh = others
+            .filter(|(at, h)| h.lease_lapsed && now.saturating_sub(*at) <= self.fleet.lease_upper_bound());
         usize::from(self.lapsed_here(front, now)) + fresh.count() >= needed
     }
 
     /// The step on which a front stands.
     pub fn step(&self, front: &str, now: Micros) -> Step {
         let Some(known) = self.fronts.get(front) else { return Step::Unknown };
-        let live = self.is_live(known, now) || mutant::is("silence-called-current");
+        let live = self.is_live(known, now) || mutant::active("silence-called-current");
         let out = known.heartbeat.stance == Stance::Out;
         if let Some(vote) = self.votes.get(front) {
             let confirmed = live && out || self.surely_lapsed(front, now);
@@ -611,12 +630,13 @@
             (Stance::Out, _) => Step::Out,
             (Stance::Narrowed, _) => Step::Narrowed,
             // Whoever has just started has not heard the others, against whom a front is held.
-            _ if now.saturating_sub(self.begun) <= self.fleet.lease_held() => Step::Unknown,
+            _ if now.saturating_sub(self.begun) <= self.fleet.lease_upper_bound() => Step::Unknown,
             (_, Some(at)) if now.saturating_sub(at) > self.fleet.behind => {
                 let newest = self.ready.as_ref().map_or(0, |r| r.index);
                 let list = known.heartbeat.version.list.index.max(known.heartbeat.reconciled.0) >= newest;
-                let news = self.newest_news(front, &known.heartbeat.version, now);
-                let told = news.is_none_or(|n| known.heartbeat.reconciled.1.is_some_and(|b| !n.narrows(&b)));
+                let rollout = self.newest_rollout(front, &known.heartbeat.version, now);
+                let told = rollout
+                    .is_none_or(|n| known.heartbeat.reconciled.1.is_some_and(|b| !n.is_narrower_than(&b)));
                 if list && told {
                     Step::Reconciled
                 } else {
@@ -633,66 +653,70 @@
     fn mark(&mut self, now: Micros, front: &str) {
         let step = self.step(front, now);
         if let Some(known) = self.fronts.get_mut(front) {
-            if known.marks.last().is_none_or(|m| m.1 != step) {
-                known.marks.push((now, step));
-                if known.marks.len() > MARKS {
-                    known.marks.remove(0);
+            if known.step_history.last().is_none_or(|m| m.1 != step) {
+                known.step_history.push((now, step));
+                if known.step_history.len() > MARKS {
+                    known.step_history.remove(0);
                 }
             }
         }
     }
 
     /// Steps that have changed since they were last marked, so that each is logged once: the front, and its step now.
-    pub fn moved(&mut self, now: Micros) -> Vec<(String, Step)> {
+    pub fn changed_steps(&mut self, now: Micros) -> Vec<(String, Step)> {
         let names: Vec<String> = self.fronts.keys().cloned().collect();
         let mut out = Vec::new();
         for name in names {
-            let before = self.fronts[&name].marks.last().map(|m| m.1);
+            let before = self.fronts[&name].step_history.last().map(|m| m.1);
             self.mark(now, &name);
-            let after = self.fronts[&name].marks.last().map(|m| m.1);
+            let after = self.fronts[&name].step_history.last().map(|m| m.1);
             out.extend(after.filter(|_| before != after).map(|step| (name, step)));
         }
         out
     }
 
     /// What is asked of another planner.
-    pub fn pull(&self) -> Pull {
-        let knows = self.ready.as_ref().map_or((0, 0), |r| (r.index, r.digest));
-        Pull { planner: self.name.clone(), have: self.book.have(), knows }
+    pub fn pull_request(&self) -> Pull {
+        let known_list = self.ready.as_ref().map_or((0, 0), |r| (r.index, r.digest));
+        Pull { planner: self.name.clone(), held: self.report_log.held_ranges(), known_list }
     }
 
     /// What another planner is given.
-    pub fn push(&self, now: Micros, pull: &Pull) -> Result<Pushed, Refused> {
+    pub fn answer_pull(&self, now: Micros, pull: &Pull) -> Result<PullResponse, MessageError> {
         if self.fleet.member(&pull.planner).is_none_or(|m| m.role != Role::Planner) {
-            return Err(Refused::Stranger(pull.planner.clone()));
+            return Err(MessageError::UnknownSender(pull.planner.clone()));
         }
-        let heard = |(name, k): (&String, &Known)| Heard {
+        let heard = |(name, k): (&String, &Known)| FrontSighting {
             front: name.clone(),
             incarnation: k.incarnation,
-            ago: now.saturating_sub(k.heard.unwrap_or(0)),
+            age: now.saturating_sub(k.heard.unwrap_or(0)),
             version: k.heartbeat.version,
             stance: k.heartbeat.stance,
-            lapsed: self.lapsed_here(name, now),
+            lease_lapsed: self.lapsed_here(name, now),
         };
-        Ok(Pushed {
+        Ok(PullResponse {
             planner: self.name.clone(),
-            reports: self.book.lacking(&pull.have, PUSH_LIMIT),
+            reports: self.report_log.missing_from(&pull.held, PUSH_LIMIT),
             heard: self.fronts.iter().map(heard).collect(),
             ready: self
                 .ready
                 .clone()
-                .filter(|r| (r.index, r.digest) != pull.knows && r.index >= pull.knows.0),
+                .filter(|r| (r.index, r.digest) != pull.known_list && r.index >= pull.known_list.0),
         })
     }
 
     /// Takes what another planner gave; the reports that were not here.
-    pub fn pushed(&mut self, now: Micros, pushed: Pushed) -> Vec<(String, u64, crate::span::Report)> {
+    pub fn apply_pull_response(
+        &mut self,
+        now: Micros,
+        pushed: PullResponse,
+    ) -> Vec<(String, u64, crate::span::Report)> {
         let mut fresh = Vec::new();
         for (front, incarnation, report) in pushed.reports {
-            match self.book.insert(&front, incarnation, report.clone()) {
+            match self.report_log.insert(&front, incarnation, report.clone()) {
                 Ok(true) => fresh.push((front, incarnation, report)),
                 Ok(false) => {}
-                Err(why) => self.count_refused(&why),
+                Err(why) => self.count_rejected(&why),
             }
         }
         self.learn_list(pushed.ready);
@@ -713,7 +737,7 @@
                 _ if self.surely_lapsed(&member.name, now) => "lapsed: narrowed at the most",
                 _ => "ordered, not confirmed",
             });
-            let gaps = known.map(|k| self.book.gaps(&member.name, k.incarnation)).unwrap_or_default();
+            let gaps = known.map(|k| self.report_log.gaps(&member.name, k.incarnation)).unwrap_or_default();
             FrontStatus {
                 name: member.name.clone(),
                 zone: member.zone.clone(),
@@ -727,25 +751,27 @@
                 reconciled_index: known.map_or(0, |k| k.heartbeat.reconciled.0),
                 stance: known.map(|k| k.heartbeat.stance),
                 out,
-                twin: known.is_some_and(|k| self.is_twin(k, now)),
+                duplicate_name: known.is_some_and(|k| self.has_duplicate_name(k, now)),
                 missing: gaps.iter().map(|g| g.1 - g.0 + 1).sum(),
-                marks: known.map(|k| k.marks.iter().map(|m| (ago(m.0), m.1)).collect()).unwrap_or_default(),
+                step_history: known
+                    .map(|k| k.step_history.iter().map(|m| (ago(m.0), m.1)).collect())
+                    .unwrap_or_default(),
             }
         };
-        let last = |m: &BTreeMap<String, (Micros, Heard)>| m.values().map(|h| h.0).max().unwrap_or(0);
+        let last = |m: &BTreeMap<String, (Micros, FrontSighting)>| m.values().map(|h| h.0).max().unwrap_or(0);
         Status {
             planner: self.name.clone(),
             incarnation: self.incarnation,
-            most_out: self.fleet.most_out.of(self.fleet.fronts().count()),
+            most_out: self.fleet.most_out.resolve(self.fleet.fronts().count()),
             planners_ms_ago: self
                 .elsewhere
                 .iter()
                 .map(|(name, m)| (name.clone(), now.saturating_sub(last(m)) / 1_000))
                 .collect(),
             fronts: self.fleet.fronts().map(front).collect(),
-            contradictions: self.book.contradictions(),
+            contradictions: self.report_log.contradictions(),
             refused: self.refused.clone(),
-            bytes: self.book.bytes(),
+            bytes: self.report_log.bytes(),
         }
     }
 }
--- a/crates/yarrowspoke-fleet/src/book.rs
+++ b/crates/yarrowspoke-fleet/src/report_log.rs
@@ -2,7 +2,7 @@
 
 use crate::mutant;
 use crate::span::Report;
-use crate::wire::{Held, Refused};
+use crate::wire::{HeldRanges, MessageError};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -37,7 +37,7 @@
 
 /// The merged record.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct ReportLog {
     incarnations: BTreeMap<(String, u64), Incarnation>,
     contradictions: BTreeMap<Contradiction, u64>,
     orders: u64,
@@ -48,7 +48,7 @@
     220 + 10 * report.span.attempts.len() as u64
 }
 
-impl Book {
+impl ReportLog {
     fn incarnation(&mut self, front: &str, incarnation: u64) -> &mut Incarnation {
         let orders = &mut self.orders;
         self.incarnations.entry((front.to_owned(), incarnation)).or_insert_with(|| {
@@ -58,15 +58,15 @@
     }
 
     /// Whether a report can be at all.
-    pub fn check(report: &Report) -> Result<(), Refused> {
-        let refused = |what| Err(Refused::Report(report.first, what));
+    pub fn check(report: &Report) -> Result<(), MessageError> {
+        let refused = |what| Err(MessageError::InvalidReport(report.first, what));
         if report.first == 0 || report.last < report.first {
             return refused("its numbers fall");
         }
         if report.span.to < report.span.from {
             return refused("it ends before it begins");
         }
-        if !report.is_whole() {
+        if !report.has_valid_link() {
             return refused("its link is not that of its content");
         }
         Ok(())
@@ -74,9 +74,9 @@
 
     /// Takes a report in; true if it was not there. One that differs from the one held under its numbers is kept out and
     /// noted as a contradiction.
-    pub fn insert(&mut self, front: &str, incarnation: u64, report: Report) -> Result<bool, Refused> {
+    pub fn insert(&mut self, front: &str, incarnation: u64, report: Report) -> Result<bool, MessageError> {
         Self::check(&report)?;
-        if mutant::is("merge-keeps-last") {
+        if mutant::active("merge-keeps-last") {
             self.incarnations.retain(|k, _| k.0 != front || k.1 == incarnation);
             let known = self.incarnation(front, incarnation);
             known.reports.retain(|k, _| k.0 + 8 > report.first);
@@ -104,7 +104,7 @@
     }
 
     /// The front says that it has closed so many spans.
-    pub fn head(&mut self, front: &str, incarnation: u64, number: u64) {
+    pub fn record_head(&mut self, front: &str, incarnation: u64, number: u64) {
         let known = self.incarnation(front, incarnation);
         known.head = known.head.max(number);
     }
@@ -115,7 +115,7 @@
             for report in known.reports.values() {
                 let _ = self.insert(front, *incarnation, report.clone());
             }
-            self.head(front, *incarnation, known.head);
+            self.record_head(front, *incarnation, known.head);
         }
         for (contradiction, n) in &other.contradictions {
             let held = self.contradictions.entry(contradiction.clone()).or_default();
@@ -149,7 +149,7 @@
     }
 
     /// All numbers up to this one are held.
-    pub fn held_to(&self, front: &str, incarnation: u64) -> u64 {
+    pub fn contiguous_through(&self, front: &str, incarnation: u64) -> u64 {
         let Some(known) = self.incarnations.get(&(front.to_owned(), incarnation)) else { return 0 };
         let first_gap = self.gaps_of(front, incarnation, known).first().map(|g| g.0);
         first_gap.map_or(known.head, |g| g - 1)
@@ -159,13 +159,13 @@
     ///
     /// Danger: said of more than is so, the front would not send to this planner what lies between, and once others have
     /// skipped the same, or had it and lost it, would drop it.
-    pub fn kept_from(&mut self, front: &str, incarnation: u64, number: u64) {
+    pub fn set_oldest_retained(&mut self, front: &str, incarnation: u64, number: u64) {
         let known = self.incarnation(front, incarnation);
         known.settled = known.settled.max(number.saturating_sub(1));
     }
 
     /// What is acknowledged to the front: all numbers up to this one are held, or can't come from it any more.
-    pub fn acked(&self, front: &str, incarnation: u64) -> u64 {
+    pub fn acknowledged_through(&self, front: &str, incarnation: u64) -> u64 {
         let Some(known) = self.incarnations.get(&(front.to_owned(), incarnation)) else { return 0 };
         let gaps = self.gaps_of(front, incarnation, known);
         let open = gaps.iter().find(|g| g.1 > known.settled);
@@ -187,7 +187,7 @@
     }
 
     /// What is held, by front and incarnation, as closed ranges of numbers.
-    pub fn have(&self) -> Vec<Held> {
+    pub fn held_ranges(&self) -> Vec<HeldRanges> {
         let ranges = |((front, incarnation), known): (&(String, u64), &Incarnation)| {
             let mut out: Vec<(u64, u64)> = Vec::new();
             if known.pruned > 0 {
@@ -205,7 +205,7 @@
     }
 
     /// Reports that somebody lacks who has these ranges, at most so many bytes of them.
-    pub fn lacking(&self, have: &[Held], most: u64) -> Vec<(String, u64, Report)> {
+    pub fn missing_from(&self, have: &[HeldRanges], most: u64) -> Vec<(String, u64, Report)> {
         let (mut out, mut bytes) = (Vec::new(), 0);
         for (front, incarnation) in self.incarnations() {
             let ranges = have.iter().find(|h| h.0 == front && h.1 == incarnation).map(|h| &h.2);
--- a/crates/yarrowspoke-fleet/src/settings.rs
+++ b/crates/yarrowspoke-fleet/src/settings.rs
@@ -37,16 +37,16 @@
 
 /// So many, as a number or as a share.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Most {
+pub enum Limit {
     /// A number.
     Number(usize),
     /// A share of the group, rounded down, but one where the group has more than one.
     Share(f64),
 }
 
-impl Most {
+impl Limit {
     /// Out of a group of so many.
-    pub fn of(&self, group: usize) -> usize {
+    pub fn resolve(&self, group: usize) -> usize {
         match *self {
             Self::Number(n) => n.min(group),
             Self::Share(share) => ((group as f64 * share).floor() as usize).max(usize::from(group > 1)),
@@ -103,9 +103,9 @@
     /// A list that its own source has not confirmed for so long is no ground for a narrowed front to send on.
     pub list_within: Micros,
     /// Most fronts quarantined at once, those out by themselves counted in.
-    pub most_out: Most,
+    pub most_out: Limit,
     /// The same for each zone.
-    pub most_out_zone: Most,
+    pub most_out_zone: Limit,
     /// Without any planner.
     pub alone: Alone,
     /// Most bytes of reports that a planner keeps.
@@ -129,8 +129,8 @@
             shut_after: 30_000_000,
             back_after: 2_000_000,
             list_within: 10_000_000,
-            most_out: Most::Share(0.2),
-            most_out_zone: Most::Share(0.5),
+            most_out: Limit::Share(0.2),
+            most_out_zone: Limit::Share(0.5),
             alone: Alone::Serve,
             keep_bytes: 256 * 1024 * 1024,
             keep: 7 * 86_400_000_000,
@@ -162,7 +162,7 @@
     }
 
     /// How long a planner holds a lease for live that it granted just now, on its own clock: drift counts on both sides.
-    pub fn lease_held(&self) -> Micros {
+    pub fn lease_upper_bound(&self) -> Micros {
         (self.lease as f64 * (1.0 + 2.0 * self.drift)).ceil() as Micros
     }
 
--- a/crates/yarrowspoke-fleet/src/span.rs
+++ b/crates/yarrowspoke-fleet/src/span.rs
@@ -34,7 +34,8 @@
     /// What was acted on...
     pub version: Version,
     /// ...and, where spans were joined, what was acted on last.
-    pub until: Option<Version>,
+    #[serde(rename = "until")]
+    pub last_version: Option<Version>,
     /// How it stood.
     pub stance: Stance,
     /// Attempts by machine and build.
@@ -42,9 +43,11 @@
     /// Votes cast.
     pub votes: u32,
     /// Requests taken.
-    pub taken: u32,
+    #[serde(rename = "taken")]
+    pub admitted: u32,
     /// Requests refused or failed.
-    pub given_up: u32,
+    #[serde(rename = "given_up")]
+    pub failed_requests: u32,
 }
 
 /// A span, or several that were joined, with its place in the chain of a front's incarnation.
@@ -73,7 +76,7 @@
 
 impl Report {
     /// Whether its own link is right; of joined ones only the ends can be held against their neighbours.
-    pub fn is_whole(&self) -> bool {
+    pub fn has_valid_link(&self) -> bool {
         self.first < self.last
             || self.first == self.last && link(&self.before, self.first, &self.span) == self.link
     }
@@ -84,13 +87,14 @@
         for (machine, build, n) in self.span.attempts.iter().chain(&next.span.attempts) {
             *attempts.entry((*machine, *build)).or_default() += n;
         }
-        let until = next.span.until.unwrap_or(next.span.version);
+        let last_version = next.span.last_version.unwrap_or(next.span.version);
         let span = &mut self.span;
-        span.until = (until != span.version || span.until.is_some()).then_some(until);
+        span.last_version =
+            (last_version != span.version || span.last_version.is_some()).then_some(last_version);
         span.attempts = attempts.into_iter().map(|((m, b), n)| (m, b, n)).collect();
         span.votes += next.span.votes;
-        span.taken += next.span.taken;
-        span.given_up += next.span.given_up;
+        span.admitted += next.span.admitted;
+        span.failed_requests += next.span.failed_requests;
         (span.to, span.wall, span.stance) = (next.span.to, next.span.wall, next.span.stance);
         (self.last, self.link) = (next.last, next.link);
     }
@@ -116,39 +120,39 @@
             to: now,
             wall: 0,
             version,
-            until: None,
+            last_version: None,
             stance: Stance::Open,
             attempts: Vec::new(),
             votes: 0,
-            taken: 0,
-            given_up: 0,
+            admitted: 0,
+            failed_requests: 0,
         };
         let (counts, kept) = (BTreeMap::new(), VecDeque::new());
         Self { head: Link::default(), number: 0, open, counts, kept, most: most.max(2), noted: 0 }
     }
 
     /// An attempt is sent.
-    pub fn attempt(&mut self, machine: u32, build: u16) {
+    pub fn record_attempt(&mut self, machine: u32, build: u16) {
         self.noted += 1;
-        if mutant::is("attempts-uncounted") && self.noted.is_multiple_of(3) {
+        if mutant::active("attempts-uncounted") && self.noted.is_multiple_of(3) {
             return;
         }
         *self.counts.entry((machine, build)).or_default() += 1;
     }
 
     /// A vote is cast.
-    pub fn vote(&mut self) {
+    pub fn record_vote(&mut self) {
         self.open.votes += 1;
     }
 
     /// A request is taken.
-    pub fn taken(&mut self) {
-        self.open.taken += 1;
+    pub fn record_admitted(&mut self) {
+        self.open.admitted += 1;
     }
 
     /// A request is refused or failed.
-    pub fn given_up(&mut self) {
-        self.open.given_up += 1;
+    pub fn record_failed(&mut self) {
+        self.open.failed_requests += 1;
     }
 
     /// What is acted on now.
@@ -163,15 +167,15 @@
 
     /// Closes the open span; the next one is on this version, with this stance.
     pub fn close(&mut self, now: Micros, wall: Micros, version: Version, stance: Stance) {
-        let (votes, taken, given_up) = (0, 0, 0);
+        let (votes, admitted, failed_requests) = (0, 0, 0);
         let next = Span {
             from: now,
             to: now,
             version,
             stance,
             votes,
-            taken,
-            given_up,
+            admitted,
+            failed_requests,
             attempts: vec![],
             ..self.open.clone()
         };
@@ -193,24 +197,24 @@
     }
 
     /// A majority of planners has everything up to this number: it is kept here no longer.
-    pub fn drop_to(&mut self, number: u64) {
+    pub fn discard_through(&mut self, number: u64) {
         while self.kept.front().is_some_and(|r| r.last <= number) {
             self.kept.pop_front();
         }
     }
 
     /// Reports behind this number, oldest first, at most so many.
-    pub fn behind(&self, number: u64, most: usize) -> Vec<Report> {
+    pub fn reports_after(&self, number: u64, most: usize) -> Vec<Report> {
         self.kept.iter().filter(|r| r.last > number).take(most).cloned().collect()
     }
 
     /// Number of the last closed span.
-    pub fn number(&self) -> u64 {
+    pub fn last_number(&self) -> u64 {
         self.number
     }
 
     /// Reports kept.
-    pub fn kept(&self) -> usize {
+    pub fn retained(&self) -> usize {
         self.kept.len()
     }
 }
--- a/crates/yarrowspoke-fleet/src/version.rs
+++ b/crates/yarrowspoke-fleet/src/version.rs
@@ -5,7 +5,7 @@
 
 /// How one thing stands to another. *Not comparable* is an answer of its own: it is told to operators, never guessed away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum VersionOrder {
     /// It is newer.
     Newer,
     /// It is older.
@@ -18,9 +18,10 @@
 
 /// Where a list came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Source {
+pub enum ListSource {
     /// Held from before the start.
-    Held,
+    #[serde(rename = "Held")]
+    Cached,
     /// Discovery.
     Discovery,
 }
@@ -31,7 +32,7 @@
     /// Discovery's index.
     pub index: u64,
     /// Where it came from.
-    pub source: Source,
+    pub source: ListSource,
     /// How often the index went back in this incarnation of the front: before and after, indices don't compare.
     pub epoch: u32,
     /// Of the machines, their states and builds.
@@ -40,20 +41,20 @@
 
 impl List {
     /// How it stands to another.
-    pub fn stands(&self, other: &Self) -> Standing {
+    pub fn compare(&self, other: &Self) -> VersionOrder {
         match self.index.cmp(&other.index) {
-            _ if self.epoch != other.epoch => Standing::NotComparable,
-            std::cmp::Ordering::Greater => Standing::Newer,
-            std::cmp::Ordering::Less => Standing::Older,
-            std::cmp::Ordering::Equal if self.digest == other.digest => Standing::Equal,
-            std::cmp::Ordering::Equal => Standing::NotComparable,
+            _ if self.epoch != other.epoch => VersionOrder::NotComparable,
+            std::cmp::Ordering::Greater => VersionOrder::Newer,
+            std::cmp::Ordering::Less => VersionOrder::Older,
+            std::cmp::Ordering::Equal if self.digest == other.digest => VersionOrder::Equal,
+            std::cmp::Ordering::Equal => VersionOrder::NotComparable,
         }
     }
 }
 
 /// State of the newest build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct RolloutStatus {
     /// The build.
     pub build: u16,
     /// Its stage.
@@ -64,23 +65,23 @@
     pub cap: u32,
 }
 
-impl News {
+impl RolloutStatus {
     fn rank(&self) -> (u16, u8, u8) {
         (self.build, self.phase, if self.phase == 0 { self.stage } else { 0 })
     }
 
     /// How it stands to another.
-    pub fn stands(&self, other: &Self) -> Standing {
+    pub fn compare(&self, other: &Self) -> VersionOrder {
         match self.rank().cmp(&other.rank()) {
-            std::cmp::Ordering::Greater => Standing::Newer,
-            std::cmp::Ordering::Less => Standing::Older,
-            std::cmp::Ordering::Equal if self.cap == other.cap => Standing::Equal,
-            std::cmp::Ordering::Equal => Standing::NotComparable,
+            std::cmp::Ordering::Greater => VersionOrder::Newer,
+            std::cmp::Ordering::Less => VersionOrder::Older,
+            std::cmp::Ordering::Equal if self.cap == other.cap => VersionOrder::Equal,
+            std::cmp::Ordering::Equal => VersionOrder::NotComparable,
         }
     }
 
     /// Whether acting on it permits nothing that `other` does not: a way back, or a cap no higher for the same build.
-    pub fn narrows(&self, other: &Self) -> bool {
+    pub fn is_narrower_than(&self, other: &Self) -> bool {
         let back = self.phase >= 2 && other.phase < 2;
         self.build == other.build && (back || self.phase == other.phase && self.cap < other.cap)
     }
@@ -92,7 +93,8 @@
     /// The list.
     pub list: List,
     /// The newest news; none before the first.
-    pub news: Option<News>,
+    #[serde(rename = "news")]
+    pub rollout: Option<RolloutStatus>,
     /// Digest of the front's configuration file.
     pub config: u64,
     /// Digest of what the operator's file holds, members' addresses left out.
@@ -105,14 +107,14 @@
 
 impl Version {
     /// How the parts that move by themselves stand to another's: the list, then the news.
-    pub fn stands(&self, other: &Self) -> [Standing; 2] {
-        let news = match (&self.news, &other.news) {
-            (Some(a), Some(b)) => a.stands(b),
-            (None, None) => Standing::Equal,
-            (None, Some(_)) => Standing::Older,
-            (Some(_), None) => Standing::Newer,
+    pub fn compare(&self, other: &Self) -> [VersionOrder; 2] {
+        let rollout = match (&self.rollout, &other.rollout) {
+            (Some(a), Some(b)) => a.compare(b),
+            (None, None) => VersionOrder::Equal,
+            (None, Some(_)) => VersionOrder::Older,
+            (Some(_), None) => VersionOrder::Newer,
         };
-        [self.list.stands(&other.list), news]
+        [self.list.compare(&other.list), rollout]
     }
 }
 
@@ -128,5 +130,6 @@
     /// Discovery confirmed the list.
     pub list: Micros,
     /// The newest news came.
-    pub news: Micros,
+    #[serde(rename = "news")]
+    pub rollout: Micros,
 }
--- a/crates/yarrowspoke-fleet/src/wire.rs
+++ b/crates/yarrowspoke-fleet/src/wire.rs
@@ -3,10 +3,10 @@
 //! Bodies are postcard behind a magic word and the schema's number, so that an alien or a newer one is refused by its name
 //! before anything of it is believed.
 
-use crate::agreed::{Permit, Word};
 use crate::delta::{Base, Delta};
+use crate::permits::{Permit, PermitMessage};
 use crate::span::{Report, Stance};
-use crate::version::{Ages, News, Version};
+use crate::version::{Ages, RolloutStatus, Version};
 use crate::Micros;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -25,25 +25,25 @@
 
 /// Why a message is refused.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-pub enum Refused {
+pub enum MessageError {
     /// Not of this schema's family.
     #[error("alien schema: the body does not begin as a fleet's message does")]
-    Alien,
+    UnknownFormat,
     /// Another version of it.
     #[error("schema {0}, expected {SCHEMA}")]
-    Schema(u16),
+    UnsupportedSchema(u16),
     /// Its bytes can't be read.
     #[error("cannot be read: {0}")]
     Unreadable(String),
     /// Its sender is no member, or one of another role.
     #[error("{0:?} is no front of this fleet")]
-    Stranger(String),
+    UnknownSender(String),
     /// A report that can't be.
     #[error("report {0}: {1}")]
-    Report(u64, &'static str),
+    InvalidReport(u64, &'static str),
     /// More than one heartbeat may bring.
     #[error("{0} reports at once, at most {REPORTS_AT_ONCE}")]
-    Many(usize),
+    TooManyReports(usize),
 }
 
 fn framed(schema: u16, message: &impl Serialize) -> Vec<u8> {
@@ -53,17 +53,17 @@
     out
 }
 
-fn unframed(bytes: &[u8]) -> Result<(u16, &[u8]), Refused> {
-    let (magic, rest) = bytes.split_first_chunk::<4>().ok_or(Refused::Alien)?;
-    let (schema, rest) = rest.split_first_chunk::<2>().ok_or(Refused::Alien)?;
+fn unframed(bytes: &[u8]) -> Result<(u16, &[u8]), MessageError> {
+    let (magic, rest) = bytes.split_first_chunk::<4>().ok_or(MessageError::UnknownFormat)?;
+    let (schema, rest) = rest.split_first_chunk::<2>().ok_or(MessageError::UnknownFormat)?;
     if *magic != MAGIC {
-        return Err(Refused::Alien);
+        return Err(MessageError::UnknownFormat);
     }
     Ok((u16::from_le_bytes(*schema), rest))
 }
 
-fn read<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Refused> {
-    postcard::from_bytes(bytes).map_err(|e| Refused::Unreadable(e.to_string()))
+fn read<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
+    postcard::from_bytes(bytes).map_err(|e| MessageError::Unreadable(e.to_string()))
 }
 
 /// The bytes of a message.
@@ -72,33 +72,33 @@
 }
 
 /// A message from its bytes.
-pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Refused> {
+pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
     match unframed(bytes)? {
         (SCHEMA, rest) => read(rest),
-        (other, _) => Err(Refused::Schema(other)),
+        (other, _) => Err(MessageError::UnsupportedSchema(other)),
     }
 }
 
 /// A message that may carry a list by snapshot and delta; which schema it is spoken in follows from whether it does.
-pub trait Listing: Serialize + DeserializeOwned {
+pub trait CarriesList: Serialize + DeserializeOwned {
     /// What it carries of lists, if it does.
     fn list(&mut self) -> &mut Option<ListState>;
 }
 
-impl Listing for Heartbeat {
+impl CarriesList for Heartbeat {
     fn list(&mut self) -> &mut Option<ListState> {
         &mut self.list
     }
 }
 
-impl Listing for Answer {
+impl CarriesList for HeartbeatResponse {
     fn list(&mut self) -> &mut Option<ListState> {
         &mut self.list
     }
 }
 
 /// The bytes of a heartbeat or its answer: as ever where it carries nothing of lists by delta.
-pub fn encode_listing<T: Listing>(message: &mut T) -> Vec<u8> {
+pub fn encode_with_list<T: CarriesList>(message: &mut T) -> Vec<u8> {
     match message.list().take() {
         None => encode(message),
         Some(list) => {
@@ -110,7 +110,7 @@
 }
 
 /// A heartbeat or its answer from its bytes, in either schema.
-pub fn decode_listing<T: Listing>(bytes: &[u8]) -> Result<T, Refused> {
+pub fn decode_with_list<T: CarriesList>(bytes: &[u8]) -> Result<T, MessageError> {
     match unframed(bytes)? {
         (SCHEMA, rest) => read(rest),
         (SCHEMA_PACED, rest) => {
@@ -118,7 +118,7 @@
             *message.list() = Some(list);
             Ok(message)
         }
-        (other, _) => Err(Refused::Schema(other)),
+        (other, _) => Err(MessageError::UnsupportedSchema(other)),
     }
 }
 
@@ -147,7 +147,7 @@
 
 /// Machines that are ready on a list, with their builds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ready {
+pub struct ReadyMachines {
     /// The list's index.
     pub index: u64,
     /// Its epoch.
@@ -155,7 +155,8 @@
     /// Its digest.
     pub digest: u64,
     /// Fronts that hold it from their own source.
-    pub vouched: u32,
+    #[serde(rename = "vouched")]
+    pub confirmations: u32,
     /// The machines, in order.
     pub machines: Vec<(u32, u16)>,
 }
@@ -179,7 +180,7 @@
     /// When it last heard them.
     pub ages: Ages,
     /// What it was reconciled to by planners: an index of the list, and news.
-    pub reconciled: (u64, Option<News>),
+    pub reconciled: (u64, Option<RolloutStatus>),
     /// How it stands.
     pub stance: Stance,
     /// The slots that each planner has voted it into, as far as it knows.
@@ -189,9 +190,9 @@
     /// Spans that this planner may not have.
     pub reports: Vec<Report>,
     /// What it says of its permit to be out.
-    pub permit: Option<(u64, Word)>,
+    pub permit: Option<(u64, PermitMessage)>,
     /// Its list, if this planner may not know it.
-    pub ready: Option<Ready>,
+    pub ready: Option<ReadyMachines>,
     /// Lists by snapshot and delta; of the second schema only.
     #[serde(skip)]
     pub list: Option<ListState>,
@@ -199,7 +200,7 @@
 
 /// What a planner answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Answer {
+pub struct HeartbeatResponse {
     /// Who answers.
     pub planner: String,
     /// Which incarnation of it.
@@ -215,15 +216,19 @@
     /// The slot that it is voted into: it is to be out.
     pub vote: Option<Slot>,
     /// It is behind the others and is to ask its own sources again.
-    pub again: bool,
+    #[serde(rename = "again")]
+    pub refetch: bool,
     /// A list newer than its own, for what that takes away.
-    pub ready: Option<Ready>,
+    pub ready: Option<ReadyMachines>,
     /// News newer than its own, for what that takes away.
-    pub news: Option<News>,
+    #[serde(rename = "news")]
+    pub rollout: Option<RolloutStatus>,
     /// The list that the planner knows for newest, index and digest: a front sends its own only if that differs.
-    pub knows: (u64, u64),
+    #[serde(rename = "knows")]
+    pub known_list: (u64, u64),
     /// Another process was heard under this name.
-    pub twin: bool,
+    #[serde(rename = "twin")]
+    pub duplicate_name: bool,
     /// Its permit to be out, as agreed, as far as this planner knows...
     pub permit: Option<Permit>,
     /// ...and the highest number of any permit that it knows of.
@@ -234,7 +239,7 @@
 }
 
 /// What is held of one incarnation: the front, its incarnation, and closed ranges of numbers.
-pub type Held = (String, u64, Vec<(u64, u64)>);
+pub type HeldRanges = (String, u64, Vec<(u64, u64)>);
 
 /// What a planner asks another: what it has, by front and incarnation, as closed ranges of numbers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -242,37 +247,41 @@
     /// Who asks.
     pub planner: String,
     /// What it has.
-    pub have: Vec<Held>,
+    #[serde(rename = "have")]
+    pub held: Vec<HeldRanges>,
     /// The newest list that it knows.
-    pub knows: (u64, u64),
+    #[serde(rename = "knows")]
+    pub known_list: (u64, u64),
 }
 
 /// What the other gives.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Pushed {
+pub struct PullResponse {
     /// Who answers.
     pub planner: String,
     /// Reports that the asker lacks, as many as fit.
     pub reports: Vec<(String, u64, Report)>,
     /// When it last heard each front itself, in microseconds ago.
-    pub heard: Vec<Heard>,
+    pub heard: Vec<FrontSighting>,
     /// Its newest list, if the asker knows an older one.
-    pub ready: Option<Ready>,
+    pub ready: Option<ReadyMachines>,
 }
 
 /// What one planner heard of a front by itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Heard {
+pub struct FrontSighting {
     /// The front.
     pub front: String,
     /// Its incarnation.
     pub incarnation: u64,
     /// How long ago.
-    pub ago: Micros,
+    #[serde(rename = "ago")]
+    pub age: Micros,
     /// What it acted on.
     pub version: Version,
     /// How it stood.
     pub stance: Stance,
     /// The lease granted to it last has surely lapsed, and it gets none.
-    pub lapsed: bool,
+    #[serde(rename = "lapsed")]
+    pub lease_lapsed: bool,
 }
--- a/crates/yarrowspoke-fleet/tests/common/mod.rs
+++ b/crates/yarrowspoke-fleet/tests/common/mod.rs
@@ -2,11 +2,11 @@
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
-use yarrowspoke_fleet::book::Book;
 use yarrowspoke_fleet::front::FrontSide;
 use yarrowspoke_fleet::planner::Planner;
-use yarrowspoke_fleet::settings::{Alone, Fleet, Member, Most, Role};
-use yarrowspoke_fleet::version::{List, News, Source, Version};
+use yarrowspoke_fleet::report_log::ReportLog;
+use yarrowspoke_fleet::settings::{Alone, Fleet, Limit, Member, Role};
+use yarrowspoke_fleet::version::{List, ListSource, RolloutStatus, Version};
 use yarrowspoke_fleet::Micros;
 
 pub const MS: Micros = 1_000;
@@ -27,20 +27,20 @@
         shut_after: 2_000 * MS,
         back_after: 600 * MS,
         list_within: 5_000 * MS,
-        most_out: Most::Number(2),
-        most_out_zone: Most::Number(1),
+        most_out: Limit::Number(2),
+        most_out_zone: Limit::Number(1),
         alone: Alone::Narrow,
         ..Fleet::default()
     }
 }
 
 pub fn version() -> Version {
-    let list = List { index: 0, source: Source::Held, epoch: 0, digest: 0 };
-    Version { list, news: None, config: 1, operator: 2, settings: 3, program: 4 }
+    let list = List { index: 0, source: ListSource::Cached, epoch: 0, digest: 0 };
+    Version { list, rollout: None, config: 1, operator: 2, settings: 3, program: 4 }
 }
 
-pub fn news(build: u16, phase: u8, cap: u32) -> News {
-    News { build, stage: 0, phase, cap }
+pub fn rollout(build: u16, phase: u8, cap: u32) -> RolloutStatus {
+    RolloutStatus { build, stage: 0, phase, cap }
 }
 
 /// Machines 1 to `n` on build 1, those in `but` left out.
@@ -65,8 +65,10 @@
             .enumerate()
             .map(|(n, m)| FrontSide::new(fleet.clone(), &m.name, 100 + n as u64, version()))
             .collect();
-        let planners =
-            fleet.planners().map(|m| Planner::new(fleet.clone(), &m.name, 1, 0, Book::default())).collect();
+        let planners = fleet
+            .planners()
+            .map(|m| Planner::new(fleet.clone(), &m.name, 1, 0, ReportLog::default()))
+            .collect();
         let links = (0..fronts.len()).flat_map(|f| (0..3).map(move |p| ((f, p), (true, true)))).collect();
         Self { fleet, now: 0, fronts, planners, links }
     }
@@ -82,10 +84,10 @@
         for p in 0..self.planners.len() {
             let heartbeat = self.fronts[front].heartbeat(p, self.now);
             let (to, back) = self.links[&(front, p)];
-            let answer = if to { self.planners[p].take(self.now, heartbeat).ok() } else { None };
+            let answer = if to { self.planners[p].handle_heartbeat(self.now, heartbeat).ok() } else { None };
             match answer.filter(|_| back) {
-                Some(answer) => drop(self.fronts[front].answered(p, self.now, self.now, answer)),
-                None => self.fronts[front].failed(p, self.now),
+                Some(answer) => drop(self.fronts[front].heartbeat_answered(p, self.now, self.now, answer)),
+                None => self.fronts[front].heartbeat_failed(p, self.now),
             }
         }
     }
@@ -101,9 +103,9 @@
             }
             for p in 0..3 {
                 for q in (0..3).filter(|q| *q != p) {
-                    let pull = self.planners[p].pull();
-                    let pushed = self.planners[q].push(self.now, &pull).unwrap();
-                    self.planners[p].pushed(self.now, pushed);
+                    let pull = self.planners[p].pull_request();
+                    let pushed = self.planners[q].answer_pull(self.now, &pull).unwrap();
+                    self.planners[p].apply_pull_response(self.now, pushed);
                 }
             }
         }
@@ -113,7 +115,12 @@
     pub fn list(&mut self, fronts: impl IntoIterator<Item = usize>, index: u64, ready: &BTreeMap<u32, u16>) {
         let now = self.now;
         for f in fronts {
-            self.fronts[f].listed((now, now), (index, 7 * index), Source::Discovery, ready.clone());
+            self.fronts[f].list_received(
+                (now, now),
+                (index, 7 * index),
+                ListSource::Discovery,
+                ready.clone(),
+            );
         }
     }
 }
--- a/crates/yarrowspoke-fleet/tests/pace.rs
+++ b/crates/yarrowspoke-fleet/tests/heartbeat_schedule.rs
@@ -1,12 +1,12 @@
 //! The pace by itself: what is due when, over all that may be asked of it.
 
 use proptest::prelude::*;
-use yarrowspoke_fleet::pace::{due, Beat};
+use yarrowspoke_fleet::heartbeat_schedule::{next_due, PlannerSchedule};
 
 const RENEW: u64 = 200_000;
 
-fn steady(last: u64) -> Beat {
-    Beat { last: Some(last), hurry: None, answers: true }
+fn steady(last: u64) -> PlannerSchedule {
+    PlannerSchedule { last: Some(last), hurry: None, answers: true }
 }
 
 #[test]
@@ -16,8 +16,8 @@
         let mut beats = vec![steady(0); planners];
         let (mut heard, mut at) = (vec![vec![0]; planners], 0);
         for _ in 0..20 * planners {
-            let next = (0..planners).min_by_key(|n| due(&beats, *n, (RENEW, pace), 7)).unwrap();
-            let now = due(&beats, next, (RENEW, pace), 7);
+            let next = (0..planners).min_by_key(|n| next_due(&beats, *n, (RENEW, pace), 7)).unwrap();
+            let now = next_due(&beats, next, (RENEW, pace), 7);
             assert!(now - at <= RENEW, "{planners}: nobody was heard from {at} to {now}");
             (beats[next], at) = (steady(now), now);
             heard[next].push(now);
@@ -35,8 +35,9 @@
     beats[3].answers = false;
     let mut at = 0;
     for _ in 0..40 {
-        let next = [0, 1, 2, 4].into_iter().min_by_key(|n| due(&beats, *n, (RENEW, 5 * RENEW), 7)).unwrap();
-        let now = due(&beats, next, (RENEW, 5 * RENEW), 7);
+        let next =
+            [0, 1, 2, 4].into_iter().min_by_key(|n| next_due(&beats, *n, (RENEW, 5 * RENEW), 7)).unwrap();
+        let now = next_due(&beats, next, (RENEW, 5 * RENEW), 7);
         assert!(now - at <= RENEW);
         (beats[next], at) = (steady(now), now);
     }
@@ -50,12 +51,12 @@
         draw in any::<u64>(),
     ) {
         let beat = |(last, answers, hurry): &(u64, bool, Option<u64>)| {
-            Beat { last: Some(*last), hurry: hurry.map(|h| last + h), answers: *answers }
+            PlannerSchedule { last: Some(*last), hurry: hurry.map(|h| last + h), answers: *answers }
         };
-        let beats: Vec<Beat> = lasts.iter().map(beat).collect();
+        let beats: Vec<PlannerSchedule> = lasts.iter().map(beat).collect();
         let pace = paces * RENEW;
         for (n, beat) in beats.iter().enumerate() {
-            let (at, last) = (due(&beats, n, (RENEW, pace), draw), beat.last.unwrap());
+            let (at, last) = (next_due(&beats, n, (RENEW, pace), draw), beat.last.unwrap());
             prop_assert!(at >= last + RENEW);
             match beat.hurry {
                 Some(since) => prop_assert!(at <= since + RENEW, "a change was held back"),
@@ -67,8 +68,8 @@
 
 #[test]
 fn what_many_fronts_owe_to_one_change_is_spread_over_a_renewal() {
-    let hurried = [Beat { last: Some(0), hurry: Some(900_000), answers: true }];
-    let at = |draw: u64| due(&hurried, 0, (RENEW, 1_000_000), draw.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+    let hurried = [PlannerSchedule { last: Some(0), hurry: Some(900_000), answers: true }];
+    let at = |draw: u64| next_due(&hurried, 0, (RENEW, 1_000_000), draw.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let mut all: Vec<u64> = (0..620).map(at).collect();
     all.sort_unstable();
     assert!(all[0] >= 900_000 && all[619] <= 900_000 + RENEW);
--- a/crates/yarrowspoke-fleet/tests/ladder.rs
+++ b/crates/yarrowspoke-fleet/tests/ladder.rs
@@ -4,9 +4,9 @@
 
 use common::*;
 use yarrowspoke_fleet::planner::Step;
-use yarrowspoke_fleet::settings::{Alone, Fleet, Most};
+use yarrowspoke_fleet::settings::{Alone, Fleet, Limit};
 use yarrowspoke_fleet::span::Stance;
-use yarrowspoke_fleet::version::Source;
+use yarrowspoke_fleet::version::ListSource;
 
 fn all_on(rig: &mut Rig, index: u64) {
     let n = rig.fronts.len();
@@ -28,16 +28,16 @@
     rig.list(1..4, 6, &ready(10, &[3]));
     rig.run(2, &[]);
     assert!(
-        rig.fronts[0].leaves_out(rig.now, 3, 1),
+        rig.fronts[0].excludes(rig.now, 3, 1),
         "reconciled by the first heartbeat after the planners knew"
     );
-    assert!(!rig.fronts[0].leaves_out(rig.now, 4, 1));
+    assert!(!rig.fronts[0].excludes(rig.now, 4, 1));
     rig.run(3, &[]);
     assert_eq!(rig.planners[0].step("f0", rig.now), Step::Reconciled);
     rig.run(10, &[]);
     assert_eq!((outs(&rig), rig.planners[1].step("f0", rig.now)), (vec![0], Step::Out));
     assert!(
-        !rig.fronts[0].takes(rig.now)
+        !rig.fronts[0].admits_requests(rig.now)
             && rig.planners[2].status(rig.now).fronts[0].out == Some("acknowledged")
     );
     rig.list([0], 6, &ready(10, &[3]));
@@ -54,19 +54,20 @@
     all_on(&mut rig, 5);
     rig.list(1..4, 6, &ready(12, &[3]));
     for f in 0..4 {
-        rig.fronts[f].told((rig.now, 0), if f == 0 { news(2, 0, 160_000) } else { news(2, 2, 0) });
+        rig.fronts[f]
+            .rollout_received((rig.now, 0), if f == 0 { rollout(2, 0, 160_000) } else { rollout(2, 2, 0) });
     }
     rig.run(2, &[]);
     // A machine that is new elsewhere stays unknown here: nothing makes it ready but its own source.
     assert_eq!(rig.fronts[0].version().list.index, 5);
-    assert_eq!(rig.fronts[0].narrower_news(), Some(news(2, 2, 0)));
+    assert_eq!(rig.fronts[0].restricting_rollout(), Some(rollout(2, 2, 0)));
     // A higher cap elsewhere is not relayed.
     for f in 1..4 {
-        rig.fronts[f].told((rig.now, 0), news(3, 0, 900_000));
+        rig.fronts[f].rollout_received((rig.now, 0), rollout(3, 0, 900_000));
     }
-    rig.fronts[0].told((rig.now, 0), news(3, 0, 160_000));
+    rig.fronts[0].rollout_received((rig.now, 0), rollout(3, 0, 160_000));
     rig.run(2, &[]);
-    assert_eq!(rig.fronts[0].narrower_news(), None);
+    assert_eq!(rig.fronts[0].restricting_rollout(), None);
 }
 
 #[test]
@@ -75,11 +76,11 @@
     all_on(&mut rig, 5);
     rig.list([3], 9, &ready(10, &[1, 2, 3, 4, 5, 6, 7]));
     rig.run(3, &[]);
-    assert!(!rig.fronts[0].leaves_out(rig.now, 1, 1) && rig.fronts[0].refused_shrinks() > 0);
+    assert!(!rig.fronts[0].excludes(rig.now, 1, 1) && rig.fronts[0].refused_shrinks() > 0);
     // Two that hold it from their own sources are believed.
     rig.list([2], 9, &ready(10, &[1, 2, 3, 4, 5, 6, 7]));
     rig.run(3, &[]);
-    assert!(rig.fronts[0].leaves_out(rig.now, 1, 1));
+    assert!(rig.fronts[0].excludes(rig.now, 1, 1));
 }
 
 #[test]
@@ -87,21 +88,21 @@
     for alone in [Alone::Serve, Alone::Narrow] {
         let mut rig = Rig::new(Fleet { alone, ..fleet(4) });
         all_on(&mut rig, 5);
-        rig.fronts[0].told((rig.now, 0), news(2, 0, 160_000));
+        rig.fronts[0].rollout_received((rig.now, 0), rollout(2, 0, 160_000));
         rig.run(3, &[]);
-        assert!(!rig.fronts[0].leaves_out(rig.now, 1, 2), "a build on trial is served under a lease");
+        assert!(!rig.fronts[0].excludes(rig.now, 1, 2), "a build on trial is served under a lease");
         // It stands still for a minute, and nothing has told it anything when it wakes.
         rig.now += 60_000 * MS;
         assert_eq!(rig.fronts[0].stance(rig.now), Stance::Narrowed);
-        assert!(rig.fronts[0].leaves_out(rig.now, 1, 2) && !rig.fronts[0].leaves_out(rig.now, 1, 1));
-        assert!(!rig.fronts[0].takes(rig.now), "its list was not confirmed for long");
-        rig.fronts[0].confirmed(rig.now);
-        assert!(rig.fronts[0].takes(rig.now));
+        assert!(rig.fronts[0].excludes(rig.now, 1, 2) && !rig.fronts[0].excludes(rig.now, 1, 1));
+        assert!(!rig.fronts[0].admits_requests(rig.now), "its list was not confirmed for long");
+        rig.fronts[0].list_confirmed(rig.now);
+        assert!(rig.fronts[0].admits_requests(rig.now));
         // All planners are gone.
         rig.cut(0, (false, false));
         rig.run(2, &[]);
-        let stands = if alone == Alone::Serve { Stance::Alone } else { Stance::Narrowed };
-        assert_eq!(rig.fronts[0].stance(rig.now), stands);
+        let expected = if alone == Alone::Serve { Stance::Alone } else { Stance::Narrowed };
+        assert_eq!(rig.fronts[0].stance(rig.now), expected);
         rig.cut(0, (true, true));
         rig.run(2, &[]);
         assert_eq!(rig.fronts[0].stance(rig.now), Stance::Open);
@@ -118,10 +119,10 @@
     rig.run(7, &[]);
     assert_eq!(rig.fronts[0].stance(rig.now), Stance::Narrowed, "heard by all, hearing one");
     let heartbeat = rig.fronts[0].heartbeat(1, rig.now);
-    let late = rig.planners[1].take(rig.now, heartbeat).unwrap();
+    let late = rig.planners[1].handle_heartbeat(rig.now, heartbeat).unwrap();
     let begun = rig.now;
     rig.run(10, &[]);
-    rig.fronts[0].answered(1, begun, rig.now, late);
+    rig.fronts[0].heartbeat_answered(1, begun, rig.now, late);
     assert_eq!(rig.fronts[0].stance(rig.now), Stance::Narrowed);
 }
 
@@ -163,7 +164,7 @@
 
 #[test]
 fn planners_that_lose_all_memory_learn_from_the_fronts_whom_they_voted_out() {
-    let mut rig = Rig::new(Fleet { most_out: Most::Number(1), ..fleet(6) });
+    let mut rig = Rig::new(Fleet { most_out: Limit::Number(1), ..fleet(6) });
     all_on(&mut rig, 5);
     rig.run(10, &[]);
     rig.list(1..6, 6, &ready(10, &[3]));
@@ -194,7 +195,7 @@
     let status = rig.planners[0].status(rig.now);
     assert_eq!(status.fronts[0].version.unwrap().list.epoch, 1);
     // The cached list of a start is no index that went back.
-    rig.fronts[1].listed((rig.now, 0), (2, 1), Source::Held, ready(10, &[]));
+    rig.fronts[1].list_received((rig.now, 0), (2, 1), ListSource::Cached, ready(10, &[]));
     assert_eq!(rig.fronts[1].version().list.epoch, 0);
 }
 
@@ -208,13 +209,13 @@
     assert_eq!(outs(&rig), [0]);
     let (fleet, list) = (rig.fleet.clone(), ready(10, &[3]));
     let mut new = yarrowspoke_fleet::front::FrontSide::new(fleet, "f0", 900, version());
-    new.listed((0, 0), (6, 42), Source::Discovery, list);
+    new.list_received((0, 0), (6, 42), ListSource::Discovery, list);
     std::mem::swap(&mut rig.fronts[0], &mut new);
     rig.run(1, &[]);
     assert!(rig.planners[0].status(rig.now).fronts[0].out.is_some(), "one heartbeat may be a late one");
     // A late copy of the old incarnation's heartbeat takes nothing back.
     let late = new.heartbeat(0, rig.now);
-    let _ = rig.planners[0].take(rig.now, late);
+    let _ = rig.planners[0].handle_heartbeat(rig.now, late);
     rig.run(12, &[]);
     assert!(rig.planners[0].status(rig.now).fronts[0].out.is_none() && outs(&rig).is_empty());
 }
@@ -226,11 +227,11 @@
     let (sent_at, queued) = (rig.now, rig.fronts[0].heartbeat(0, rig.now));
     // Planner and front stand still; the planner wakes, reads what was queued for it, and the front is dead.
     rig.now += 60_000 * MS;
-    let answer = rig.planners[0].take(rig.now, queued).unwrap();
+    let answer = rig.planners[0].handle_heartbeat(rig.now, queued).unwrap();
     assert_eq!(rig.planners[0].step("f0", rig.now), Step::Unknown);
     assert!(rig.planners[0].status(rig.now).fronts[0].heard_ms_ago.is_some_and(|ms| ms >= 60_000));
     // Nor does the answer give a lease to a front that wakes later: it counts from when its heartbeat was sent.
-    rig.fronts[0].answered(0, sent_at, rig.now, answer);
+    rig.fronts[0].heartbeat_answered(0, sent_at, rig.now, answer);
     assert_eq!(rig.fronts[0].stance(rig.now), Stance::Narrowed);
 }
 
@@ -244,13 +245,20 @@
         rig.run(1, &[]);
         other.tick(rig.now, 0);
         let heartbeat = other.heartbeat(0, rig.now);
-        told |= other.answered(0, rig.now, rig.now, rig.planners[0].take(rig.now, heartbeat).unwrap()).twin;
+        told |= other
+            .heartbeat_answered(
+                0,
+                rig.now,
+                rig.now,
+                rig.planners[0].handle_heartbeat(rig.now, heartbeat).unwrap(),
+            )
+            .duplicate_name;
     }
-    assert!(told && rig.planners[0].status(rig.now).fronts[0].twin);
+    assert!(told && rig.planners[0].status(rig.now).fronts[0].duplicate_name);
     let incarnations: Vec<u64> =
-        rig.planners[0].book.incarnations().iter().filter(|l| l.0 == "f0").map(|l| l.1).collect();
+        rig.planners[0].report_log.incarnations().iter().filter(|l| l.0 == "f0").map(|l| l.1).collect();
     assert_eq!(incarnations, [100, 777]);
-    assert!(rig.planners[0].book.contradictions().is_empty());
+    assert!(rig.planners[0].report_log.contradictions().is_empty());
 }
 
 mod drawn {
--- a/crates/yarrowspoke-fleet/tests/lost.rs
+++ b/crates/yarrowspoke-fleet/tests/lost.rs
@@ -5,24 +5,24 @@
 
 use common::*;
 use proptest::prelude::*;
-use yarrowspoke_fleet::audit::{audit, Asked};
-use yarrowspoke_fleet::book::Book;
+use yarrowspoke_fleet::audit::{audit, AuditQuery};
 use yarrowspoke_fleet::planner::Planner;
+use yarrowspoke_fleet::report_log::ReportLog;
 use yarrowspoke_fleet::settings::Fleet;
 use yarrowspoke_fleet::wire::{encode, Heartbeat, REPORTS_AT_ONCE};
 
 const F0: (&str, u64) = ("f0", 100);
 
 /// A planner's book as it is read again from disk: the reports in it and nothing else.
-fn flushed(planner: &Planner) -> Book {
-    let mut book = Book::default();
-    for (front, incarnation, report) in planner.book.lacking(&[], u64::MAX) {
+fn flushed(planner: &Planner) -> ReportLog {
+    let mut book = ReportLog::default();
+    for (front, incarnation, report) in planner.report_log.missing_from(&[], u64::MAX) {
         assert!(book.insert(&front, incarnation, report).unwrap());
     }
     book
 }
 
-fn books(rig: &Rig) -> Vec<Book> {
+fn books(rig: &Rig) -> Vec<ReportLog> {
     rig.planners.iter().map(flushed).collect()
 }
 
@@ -42,17 +42,17 @@
 }
 
 /// A planner dies and is back with this book, which may lack what it acknowledged.
-fn replace(rig: &mut Rig, planner: usize, book: Book) {
+fn replace(rig: &mut Rig, planner: usize, book: ReportLog) {
     let name = format!("p{planner}");
     rig.planners[planner] = Planner::new(rig.fleet.clone(), &name, 2, rig.now, book);
 }
 
 fn closed(rig: &mut Rig, front: usize) -> u64 {
-    rig.fronts[front].recorder().number()
+    rig.fronts[front].recorder().last_number()
 }
 
 fn gaps(rig: &Rig, planner: usize) -> Vec<(u64, u64)> {
-    rig.planners[planner].book.gaps(F0.0, F0.1)
+    rig.planners[planner].report_log.gaps(F0.0, F0.1)
 }
 
 /// What a front sends a planner now, without its being carried there.
@@ -76,7 +76,7 @@
         for p in 0..3 {
             let heartbeat = sends(&mut rig, front, p);
             let (reports, bytes) = (heartbeat.reports.len(), encode(&heartbeat).len());
-            let book = &rig.planners[p].book;
+            let book = &rig.planners[p].report_log;
             let view = book.view(&format!("f{front}"), 100 + front as u64);
             let has = view.last().unwrap().last;
             assert!(
@@ -85,16 +85,19 @@
                  the newest there is {has} of {newest}"
             );
         }
-        assert!(rig.fronts[front].recorder().kept() <= 2, "front {front} is rid of what planners have");
+        assert!(rig.fronts[front].recorder().retained() <= 2, "front {front} is rid of what planners have");
     }
     // It stays shown for what it is.
     for p in 0..3 {
         assert_eq!(gaps(&rig, p), [lost]);
         assert_eq!(rig.planners[p].status(rig.now).fronts[0].missing, lost.1 - lost.0 + 1);
-        let drawn = audit(&rig.planners[p].book, &Asked { front: Some("f0".into()), ..Asked::default() });
+        let drawn = audit(
+            &rig.planners[p].report_log,
+            &AuditQuery { front: Some("f0".into()), ..AuditQuery::default() },
+        );
         let why = format!("spans {} to {} have not come", lost.0, lost.1);
         assert!(drawn.incarnations[0].unknown.iter().any(|u| u.why == why), "{drawn:?}");
-        let held = rig.planners[p].book.have();
+        let held = rig.planners[p].report_log.held_ranges();
         let ranges = &held.iter().find(|h| (h.0.as_str(), h.1) == F0).unwrap().2;
         assert!(ranges.iter().all(|r| r.1 < lost.0 || r.0 > lost.1), "others may still bring it: {ranges:?}");
     }
@@ -106,7 +109,7 @@
     rig.run(30, &[]);
     let flushed = books(&rig);
     rig.run(5, &[]);
-    let lost = (flushed[0].held_to(F0.0, F0.1) + 1, closed(&mut rig, 0));
+    let lost = (flushed[0].contiguous_through(F0.0, F0.1) + 1, closed(&mut rig, 0));
     (0..2).for_each(|p| replace(&mut rig, p, flushed[p].clone()));
     // Without pulls first, so that the planners learn from the front alone that it has nothing older.
     run_without_pulls(&mut rig, 3);
@@ -125,7 +128,7 @@
     [1, 2].into_iter().for_each(|p| link(&mut rig, p, false));
     let flushed = flushed(&rig.planners[0]);
     run_without_pulls(&mut rig, 5);
-    let held = flushed.held_to(F0.0, F0.1);
+    let held = flushed.contiguous_through(F0.0, F0.1);
     let now = rig.now + rig.fleet.renew;
     rig.now = now;
     rig.fronts[0].tick(now, 1_000_000 + now);
@@ -134,15 +137,15 @@
     replace(&mut rig, 0, flushed);
     // Late, out of order and twice: nothing is known by them of what the front keeps.
     for heartbeat in [&late[1], &late[0], &late[1], &late[0]] {
-        let answer = rig.planners[0].take(now, heartbeat.clone()).unwrap();
+        let answer = rig.planners[0].handle_heartbeat(now, heartbeat.clone()).unwrap();
         assert_eq!(answer.acked, held, "the front may still have what was lost here");
     }
     (0..2).for_each(|_| rig.heartbeat(0));
     assert!(gaps(&rig, 0).is_empty(), "the front had it and sent it: {:?}", gaps(&rig, 0));
     for heartbeat in &late {
-        rig.planners[0].take(now, heartbeat.clone()).unwrap();
+        rig.planners[0].handle_heartbeat(now, heartbeat.clone()).unwrap();
     }
-    assert_eq!(rig.planners[0].book.held_to(F0.0, F0.1), closed(&mut rig, 0));
+    assert_eq!(rig.planners[0].report_log.contiguous_through(F0.0, F0.1), closed(&mut rig, 0));
 }
 
 #[test]
@@ -151,15 +154,15 @@
     rig.run(30, &[]);
     let flushed = books(&rig);
     rig.run(5, &[]);
-    let lost = (flushed[0].held_to(F0.0, F0.1) + 1, closed(&mut rig, 0));
+    let lost = (flushed[0].contiguous_through(F0.0, F0.1) + 1, closed(&mut rig, 0));
     flushed.into_iter().enumerate().for_each(|(p, book)| replace(&mut rig, p, book));
     [1, 2].into_iter().for_each(|p| link(&mut rig, p, false));
     run_without_pulls(&mut rig, 20);
     assert_eq!(gaps(&rig, 0), [lost]);
     assert!(sends(&mut rig, 0, 0).reports.is_empty(), "the first has acknowledged all that is kept");
-    assert_eq!(rig.fronts[0].recorder().kept(), 20, "and the front keeps it for the others");
+    assert_eq!(rig.fronts[0].recorder().retained(), 20, "and the front keeps it for the others");
     // The first dies again, and what it held since is nowhere but at the front.
-    replace(&mut rig, 0, Book::default());
+    replace(&mut rig, 0, ReportLog::default());
     [1, 2].into_iter().for_each(|p| link(&mut rig, p, true));
     for _ in 0..3 {
         rig.now += rig.fleet.renew;
@@ -199,7 +202,7 @@
     ]
 }
 
-fn holds(book: &Book, number: u64) -> bool {
+fn holds(book: &ReportLog, number: u64) -> bool {
     book.view(F0.0, F0.1).iter().any(|r| (r.first..=r.last).contains(&number))
 }
 
@@ -218,21 +221,21 @@
                 Event::Closes => rig.fronts[0].tick(now, 1_000_000 + now),
                 Event::Beats(p, back) => {
                     let heartbeat = sends(&mut rig, 0, p);
-                    let answer = rig.planners[p].take(now, heartbeat).unwrap();
+                    let answer = rig.planners[p].handle_heartbeat(now, heartbeat).unwrap();
                     if back {
-                        rig.fronts[0].answered(p, now, now, answer);
+                        rig.fronts[0].heartbeat_answered(p, now, now, answer);
                     } else {
-                        rig.fronts[0].failed(p, now);
+                        rig.fronts[0].heartbeat_failed(p, now);
                     }
                 }
                 Event::Sends(p) => late.push((p, sends(&mut rig, 0, p))),
                 Event::Comes(n) if n < late.len() => {
                     let (p, heartbeat) = late[n].clone();
-                    rig.planners[p].take(now, heartbeat).unwrap();
+                    rig.planners[p].handle_heartbeat(now, heartbeat).unwrap();
                 }
                 Event::Pulls(p, q) if p != q => {
-                    let pushed = rig.planners[q].push(now, &rig.planners[p].pull()).unwrap();
-                    rig.planners[p].pushed(now, pushed);
+                    let pushed = rig.planners[q].answer_pull(now, &rig.planners[p].pull_request()).unwrap();
+                    rig.planners[p].apply_pull_response(now, pushed);
                 }
                 Event::Flushes(p) => disks[p] = flushed(&rig.planners[p]),
                 Event::Dies(p) => {
@@ -241,21 +244,21 @@
                 }
                 Event::Comes(_) | Event::Pulls(..) => {}
             }
-            let kept = rig.fronts[0].recorder().behind(0, usize::MAX);
+            let kept = rig.fronts[0].recorder().reports_after(0, usize::MAX);
             for planner in &rig.planners {
-                let acked = planner.book.acked(F0.0, F0.1);
+                let acked = planner.report_log.acknowledged_through(F0.0, F0.1);
                 for number in kept.iter().flat_map(|r| r.first..=r.last).filter(|n| *n <= acked) {
-                    prop_assert!(holds(&planner.book, number), "{number} of {acked} acknowledged, not held");
+                    prop_assert!(holds(&planner.report_log, number), "{number} of {acked} acknowledged, not held");
                 }
             }
         }
         // Whatever came before: what is still at the front comes to all, and none waits for what is nowhere.
         run_without_pulls(&mut rig, 8);
-        prop_assert_eq!(rig.fronts[0].recorder().kept(), 0);
+        prop_assert_eq!(rig.fronts[0].recorder().retained(), 0);
         let newest = closed(&mut rig, 0);
         for planner in &rig.planners {
-            prop_assert_eq!(planner.book.acked(F0.0, F0.1), newest);
-            prop_assert!(holds(&planner.book, newest));
+            prop_assert_eq!(planner.report_log.acknowledged_through(F0.0, F0.1), newest);
+            prop_assert!(holds(&planner.report_log, newest));
         }
     }
 }
--- a/crates/yarrowspoke-fleet/tests/paced.rs
+++ b/crates/yarrowspoke-fleet/tests/paced.rs
@@ -2,15 +2,17 @@
 
 mod common;
 
-use common::{fleet, news, ready, version, MS};
+use common::{fleet, ready, rollout, version, MS};
 use std::collections::BTreeMap;
-use yarrowspoke_fleet::book::Book;
 use yarrowspoke_fleet::front::FrontSide;
 use yarrowspoke_fleet::planner::Planner;
+use yarrowspoke_fleet::report_log::ReportLog;
 use yarrowspoke_fleet::settings::{Fleet, Lists, Paced, Spans};
 use yarrowspoke_fleet::span::Stance;
-use yarrowspoke_fleet::version::Source;
-use yarrowspoke_fleet::wire::{decode_listing, encode_listing, Answer, Heartbeat, SCHEMA, SCHEMA_PACED};
+use yarrowspoke_fleet::version::ListSource;
+use yarrowspoke_fleet::wire::{
+    decode_with_list, encode_with_list, Heartbeat, HeartbeatResponse, SCHEMA, SCHEMA_PACED,
+};
 
 /// Names a fault that this process is to have.
 const PLANTED: &str = "YARROWSPOKE_MUTANT";
@@ -47,14 +49,14 @@
 impl Site {
     fn new(fleet: Fleet) -> Self {
         if let Ok(planted) = std::env::var(PLANTED) {
-            yarrowspoke_fleet::mutant::put_on(&planted);
+            yarrowspoke_fleet::mutant::enable(&planted);
         }
         let side = |(n, m): (usize, &yarrowspoke_fleet::settings::Member)| {
             FrontSide::new(fleet.clone(), &m.name, 100 + n as u64, version())
         };
         let fronts: Vec<FrontSide> = fleet.fronts().enumerate().map(side).collect();
         let planner = |m: &yarrowspoke_fleet::settings::Member| {
-            Some(Planner::new(fleet.clone(), &m.name, 1, 0, Book::default()))
+            Some(Planner::new(fleet.clone(), &m.name, 1, 0, ReportLog::default()))
         };
         let planners = fleet.planners().map(planner).collect();
         Self {
@@ -72,7 +74,7 @@
     fn list(&mut self, fronts: impl IntoIterator<Item = usize>, index: u64, but: &[u32]) {
         let at = (self.now, 1_000_000 + self.now);
         for f in fronts {
-            self.fronts[f].listed(at, (index, 7 * index), Source::Discovery, ready(MACHINES, but));
+            self.fronts[f].list_received(at, (index, 7 * index), ListSource::Discovery, ready(MACHINES, but));
         }
     }
 
@@ -83,23 +85,23 @@
         passed.at.push(now);
         passed.whole_up += usize::from(heartbeat.ready.is_some());
         passed.spans += heartbeat.reports.len();
-        let bytes = encode_listing(&mut heartbeat);
+        let bytes = encode_with_list(&mut heartbeat);
         passed.bytes += bytes.len();
         let cut = self.cut.contains(&(f, p));
         let answer = self.planners[p].as_mut().filter(|_| !cut).and_then(|planner| {
-            let heartbeat = decode_listing::<Heartbeat>(&bytes).unwrap();
-            Some(encode_listing(&mut planner.take(now, heartbeat).ok()?))
+            let heartbeat = decode_with_list::<Heartbeat>(&bytes).unwrap();
+            Some(encode_with_list(&mut planner.handle_heartbeat(now, heartbeat).ok()?))
         });
         match answer {
             Some(bytes) => {
                 passed.bytes += bytes.len();
-                let answer = decode_listing::<Answer>(&bytes).unwrap();
+                let answer = decode_with_list::<HeartbeatResponse>(&bytes).unwrap();
                 passed.whole_down += usize::from(answer.ready.is_some());
-                if self.fronts[f].answered(p, now, now, answer).narrowed {
+                if self.fronts[f].heartbeat_answered(p, now, now, answer).restricted {
                     self.narrowed_at.insert(f, now);
                 }
             }
-            None => self.fronts[f].failed(p, now),
+            None => self.fronts[f].heartbeat_failed(p, now),
         }
     }
 
@@ -112,13 +114,13 @@
             // They were not started in one moment, and so have their turns at different planners.
             for f in (0..self.fronts.len()).filter(|f| now > 130 * MS * *f as u64) {
                 if now.is_multiple_of(self.fleet.renew) {
-                    self.fronts[f].recorder().attempt(1, 1);
+                    self.fronts[f].recorder().record_attempt(1, 1);
                     self.fronts[f].tick(now, 1_000_000 + now);
                 }
                 for p in 0..self.planners.len() {
                     // As the program looks: in each part of a renewal, so that what is found then still comes within it.
                     let looks = (now / STEP).is_multiple_of(5);
-                    if looks && self.fronts[f].due(p, now) <= now {
+                    if looks && self.fronts[f].next_heartbeat_at(p, now) <= now {
                         self.exchange(f, p);
                     }
                 }
@@ -133,12 +135,13 @@
     fn pull(&mut self) {
         for p in 0..self.planners.len() {
             for q in (0..self.planners.len()).filter(|q| *q != p) {
-                let Some(pull) = self.planners[p].as_ref().map(Planner::pull) else { continue };
-                let Some(pushed) = self.planners[q].as_ref().map(|o| o.push(self.now, &pull).unwrap()) else {
+                let Some(pull) = self.planners[p].as_ref().map(Planner::pull_request) else { continue };
+                let Some(pushed) = self.planners[q].as_ref().map(|o| o.answer_pull(self.now, &pull).unwrap())
+                else {
                     continue;
                 };
                 if let Some(planner) = self.planners[p].as_mut() {
-                    planner.pushed(self.now, pushed);
+                    planner.apply_pull_response(self.now, pushed);
                 }
             }
         }
@@ -214,7 +217,7 @@
         site.list([0], 2, &[7]);
         site.run(1_000 * MS);
         for f in [1, 2] {
-            assert!(site.fronts[f].leaves_out(site.now, 7, 1) && !site.fronts[f].leaves_out(site.now, 8, 1));
+            assert!(site.fronts[f].excludes(site.now, 7, 1) && !site.fronts[f].excludes(site.now, 8, 1));
             let took = site.narrowed_at[&f] - changed;
             assert!(took <= 2 * site.fleet.renew + 100 * MS, "f{f} after {} ms", took / MS);
         }
@@ -227,7 +230,7 @@
     site.planners[1] = None;
     site.run(1_500 * MS);
     site.passed.clear();
-    site.planners[1] = Some(Planner::new(site.fleet.clone(), "p1", 2, site.now, Book::default()));
+    site.planners[1] = Some(Planner::new(site.fleet.clone(), "p1", 2, site.now, ReportLog::default()));
     site.run(4_000 * MS);
     assert_eq!(
         site.sum(|p| p.whole_up),
@@ -241,7 +244,7 @@
     site.list([0], 3, &[9, 10]);
     site.run(1_000 * MS);
     assert_eq!(site.sum(|p| p.whole_up + p.whole_down), 0);
-    assert!((1..6).all(|f| site.fronts[f].leaves_out(site.now, 10, 1)));
+    assert!((1..6).all(|f| site.fronts[f].excludes(site.now, 10, 1)));
 }
 
 #[test]
@@ -251,11 +254,11 @@
     // The last one has heard nothing since its start, by any delta.
     let old: Vec<String> = site.fleet.planners().map(|p| p.name.clone()).collect();
     for (p, name) in old.iter().enumerate() {
-        site.planners[p] = Some(Planner::new(site.fleet.clone(), name, 2, site.now, Book::default()));
+        site.planners[p] = Some(Planner::new(site.fleet.clone(), name, 2, site.now, ReportLog::default()));
     }
     site.passed.clear();
     site.run(3_000 * MS);
-    assert!(site.fronts[3].leaves_out(site.now, 5, 1));
+    assert!(site.fronts[3].excludes(site.now, 5, 1));
     let down: usize = (0..3).map(|p| site.passed.get(&(3, p)).map_or(0, |p| p.whole_down)).sum();
     assert!(down <= 1, "{down} whole lists for one front");
     assert!(site.sum(|p| p.whole_up) <= 6, "{}", site.sum(|p| p.whole_up));
@@ -277,10 +280,10 @@
     site.planners[home] = None;
     site.run(6_000 * MS);
     for (p, planner) in site.planners.iter().enumerate().filter(|p| p.0 != home) {
-        let held = planner.as_ref().unwrap().book.held_to("f0", 100);
-        let closed = site.fronts[0].recorder().number();
+        let held = planner.as_ref().unwrap().report_log.contiguous_through("f0", 100);
+        let closed = site.fronts[0].recorder().last_number();
         assert!(
-            closed - held <= 6 && planner.as_ref().unwrap().book.gaps("f0", 100).len() <= 1,
+            closed - held <= 6 && planner.as_ref().unwrap().report_log.gaps("f0", 100).len() <= 1,
             "p{p}: {held} of {closed}"
         );
     }
@@ -302,7 +305,7 @@
     let home = home.unwrap();
     // It answers, and no planner pulls from it.
     let before: Vec<u64> =
-        site.planners.iter().map(|p| p.as_ref().unwrap().book.held_to("f0", 100)).collect();
+        site.planners.iter().map(|p| p.as_ref().unwrap().report_log.contiguous_through("f0", 100)).collect();
     for _ in 0..600 {
         let now = site.now + STEP;
         site.now = now;
@@ -310,21 +313,21 @@
             site.fronts[0].tick(now, now);
         }
         (0..3).for_each(|p| {
-            if site.fronts[0].due(p, now) <= now {
+            if site.fronts[0].next_heartbeat_at(p, now) <= now {
                 site.exchange(0, p);
             }
         });
     }
     for p in (0..3).filter(|p| *p != home) {
-        let held = site.planners[p].as_ref().unwrap().book.held_to("f0", 100);
+        let held = site.planners[p].as_ref().unwrap().report_log.contiguous_through("f0", 100);
         assert!(held > before[p] + 2, "p{p}: {} and then {held}", before[p]);
     }
 }
 
 /// A planner that is back with what of its book was on disk.
-fn back(site: &Site, planner: usize, book: &Book) -> Option<Planner> {
-    let mut read = Book::default();
-    for (front, incarnation, report) in book.lacking(&[], u64::MAX) {
+fn back(site: &Site, planner: usize, book: &ReportLog) -> Option<Planner> {
+    let mut read = ReportLog::default();
+    for (front, incarnation, report) in book.missing_from(&[], u64::MAX) {
         assert!(read.insert(&front, incarnation, report).unwrap());
     }
     Some(Planner::new(site.fleet.clone(), &format!("p{planner}"), 2, site.now, read))
@@ -334,7 +337,8 @@
 fn planners_that_lost_what_they_acknowledged_are_sent_what_comes_after_it_once() {
     let mut site = Site::settled(4);
     site.run(6_000 * MS);
-    let flushed: Vec<Book> = site.planners.iter().map(|p| p.as_ref().unwrap().book.clone()).collect();
+    let flushed: Vec<ReportLog> =
+        site.planners.iter().map(|p| p.as_ref().unwrap().report_log.clone()).collect();
     site.run(6_000 * MS);
     site.passed.clear();
     site.run(20_000 * MS);
@@ -354,13 +358,13 @@
         after.1
     );
     for f in 0..4 {
-        let (name, closed) = (format!("f{f}"), site.fronts[f].recorder().number());
+        let (name, closed) = (format!("f{f}"), site.fronts[f].recorder().last_number());
         for planner in site.planners.iter().flatten() {
-            let view = planner.book.view(&name, 100 + f as u64);
+            let view = planner.report_log.view(&name, 100 + f as u64);
             let newest = view.last().unwrap().last;
             assert!(closed - newest <= 6, "{name}: {newest} of {closed}");
-            let gaps = planner.book.gaps(&name, 100 + f as u64);
-            let lost = flushed.iter().map(|b| b.held_to(&name, 100 + f as u64)).max().unwrap();
+            let gaps = planner.report_log.gaps(&name, 100 + f as u64);
+            let lost = flushed.iter().map(|b| b.contiguous_through(&name, 100 + f as u64)).max().unwrap();
             assert_eq!(gaps[0].0, lost + 1, "{name}: what was lost is shown: {gaps:?}");
             assert!(gaps[1..].iter().all(|g| g.1 == closed || g.0 > closed - 6), "{name}: {gaps:?}");
         }
@@ -383,47 +387,47 @@
 #[test]
 fn without_the_form_every_byte_is_as_before_and_one_planner_serves_both() {
     let plain = Fleet { paced: None, ..paced(2) };
-    let mut planner = Planner::new(paced(2), "p0", 1, 0, Book::default());
+    let mut planner = Planner::new(paced(2), "p0", 1, 0, ReportLog::default());
     let mut old = FrontSide::new(plain, "f0", 100, version());
     let mut new = FrontSide::new(paced(2), "f1", 101, version());
     let schema = |bytes: &[u8]| u16::from_le_bytes([bytes[4], bytes[5]]);
     for step in 1..=8u64 {
         let now = step * 200 * MS;
         if step == 3 {
-            old.listed((now, now), (2, 14), Source::Discovery, ready(MACHINES, &[7]));
+            old.list_received((now, now), (2, 14), ListSource::Discovery, ready(MACHINES, &[7]));
         }
         if step == 1 {
-            old.listed((now, now), (1, 7), Source::Discovery, ready(MACHINES, &[]));
-            new.listed((now, now), (1, 7), Source::Discovery, ready(MACHINES, &[]));
+            old.list_received((now, now), (1, 7), ListSource::Discovery, ready(MACHINES, &[]));
+            new.list_received((now, now), (1, 7), ListSource::Discovery, ready(MACHINES, &[]));
         }
         for (front, spoken) in [(&mut old, SCHEMA), (&mut new, SCHEMA_PACED)] {
             front.tick(now, now);
             let mut heartbeat = front.heartbeat(0, now);
-            let bytes = encode_listing(&mut heartbeat);
+            let bytes = encode_with_list(&mut heartbeat);
             assert_eq!(schema(&bytes), spoken);
             if spoken == SCHEMA {
                 assert_eq!(bytes, yarrowspoke_fleet::wire::encode(&heartbeat));
             }
-            let mut answer = planner.take(now, decode_listing(&bytes).unwrap()).unwrap();
-            let bytes = encode_listing(&mut answer);
+            let mut answer = planner.handle_heartbeat(now, decode_with_list(&bytes).unwrap()).unwrap();
+            let bytes = encode_with_list(&mut answer);
             assert_eq!(schema(&bytes), spoken, "it is answered in what it speaks");
-            front.answered(0, now, now, decode_listing(&bytes).unwrap());
+            front.heartbeat_answered(0, now, now, decode_with_list(&bytes).unwrap());
         }
     }
-    assert!(new.leaves_out(1_600 * MS, 7, 1), "a drain that an old front told reaches a new one");
+    assert!(new.excludes(1_600 * MS, 7, 1), "a drain that an old front told reaches a new one");
 }
 
 #[test]
 fn news_that_take_away_reach_a_front_that_was_not_told() {
     let mut site = Site::settled(3);
     let at = (site.now, site.now);
-    (0..3).for_each(|f| site.fronts[f].told(at, news(2, 0, 500_000)));
+    (0..3).for_each(|f| site.fronts[f].rollout_received(at, rollout(2, 0, 500_000)));
     site.run(2_000 * MS);
     let changed = site.now;
-    site.fronts[0].told((changed, changed), news(2, 2, 0));
+    site.fronts[0].rollout_received((changed, changed), rollout(2, 2, 0));
     site.run(1_000 * MS);
     for f in [1, 2] {
-        assert_eq!(site.fronts[f].narrower_news(), Some(news(2, 2, 0)), "f{f}");
+        assert_eq!(site.fronts[f].restricting_rollout(), Some(rollout(2, 2, 0)), "f{f}");
         assert!(site.narrowed_at[&f] - changed <= 2 * site.fleet.renew + 100 * MS);
     }
 }
@@ -455,18 +459,18 @@
     site.planners[2] = None;
     site.list(0..2, 2, &[5]);
     site.run(500 * MS);
-    site.planners[2] = Some(Planner::new(site.fleet.clone(), "p2", 2, site.now, Book::default()));
+    site.planners[2] = Some(Planner::new(site.fleet.clone(), "p2", 2, site.now, ReportLog::default()));
     site.cut.extend([(2, 0), (2, 1), (2, 2)]);
     site.list(0..2, 3, &[5, 6]);
     site.run(500 * MS);
     site.list(0..2, 4, &[6, 7]);
     site.cut.clear();
     site.run(3_000 * MS);
-    let left_out: Vec<u32> = (1..=MACHINES).filter(|m| site.fronts[2].leaves_out(site.now, *m, 1)).collect();
+    let left_out: Vec<u32> = (1..=MACHINES).filter(|m| site.fronts[2].excludes(site.now, *m, 1)).collect();
     assert_eq!(left_out, [6, 7]);
     for planner in site.planners.iter_mut().flatten() {
-        let pull = yarrowspoke_fleet::wire::Pull { planner: "p0".into(), have: vec![], knows: (0, 0) };
-        let held = planner.push(site.now, &pull).unwrap().ready.unwrap();
+        let pull = yarrowspoke_fleet::wire::Pull { planner: "p0".into(), held: vec![], known_list: (0, 0) };
+        let held = planner.answer_pull(site.now, &pull).unwrap().ready.unwrap();
         let meant: Vec<(u32, u16)> = ready(MACHINES, &[6, 7]).into_iter().collect();
         assert_eq!((held.index, &held.machines), (4, &meant));
     }
@@ -482,7 +486,7 @@
     site.run(500 * MS);
     site.cut.clear();
     site.run(2_000 * MS);
-    assert!(site.fronts[2].leaves_out(site.now, 9, 1));
+    assert!(site.fronts[2].excludes(site.now, 9, 1));
     let whole =
         |site: &Site| -> usize { (0..3).map(|p| site.passed.get(&(2, p)).map_or(0, |p| p.whole_down)).sum() };
     let first = whole(&site);
@@ -491,7 +495,7 @@
         let changed = site.now;
         site.list(0..2, u64::from(index), &[9, 10 + index]);
         site.run(800 * MS);
-        let left_out = |m: u32| site.fronts[2].leaves_out(site.now, m, 1);
+        let left_out = |m: u32| site.fronts[2].excludes(site.now, m, 1);
         assert!(left_out(10 + index) && left_out(9) && !left_out(8) && (index == 4 || !left_out(9 + index)));
         assert!(site.narrowed_at[&2] - changed <= 2 * site.fleet.renew + 100 * MS);
     }
@@ -500,14 +504,14 @@
 
 #[test]
 fn a_front_that_hears_nothing_does_not_keep_others_from_being_asked() {
-    let mut planner = Planner::new(paced(2), "p0", 1, 0, Book::default());
+    let mut planner = Planner::new(paced(2), "p0", 1, 0, ReportLog::default());
     let front = |n: usize| FrontSide::new(paced(2), &format!("f{n}"), 100, version());
     let (mut deaf, mut other) = (front(0), front(1));
     for side in [&mut deaf, &mut other] {
-        side.listed((1, 1), (1, 7), Source::Discovery, ready(MACHINES, &[]));
+        side.list_received((1, 1), (1, 7), ListSource::Discovery, ready(MACHINES, &[]));
     }
     let mut asked = |side: &mut FrontSide, at: u64| {
-        let answer = planner.take(at, side.heartbeat(0, at)).unwrap();
+        let answer = planner.handle_heartbeat(at, side.heartbeat(0, at)).unwrap();
         answer.list.unwrap().wants_whole
     };
     assert!(asked(&mut deaf, 200 * MS));
--- a/crates/yarrowspoke-fleet/tests/agreed.rs
+++ b/crates/yarrowspoke-fleet/tests/permits.rs
@@ -4,17 +4,19 @@
 
 use common::*;
 use proptest::prelude::*;
-use yarrowspoke_fleet::agreed::{Agreed, Entry, Holder, Limits, Order, Permit, Phase, Refusal, Word};
+use yarrowspoke_fleet::permits::{
+    Entry, Limits, Order, Permit, PermitHolder, PermitMessage, PermitState, Phase, Refusal,
+};
 
-fn started() -> Agreed {
-    let mut state = Agreed::default();
-    state.apply(&Entry::Limits(Limits::of(&fleet(6))));
+fn started() -> PermitState {
+    let mut state = PermitState::default();
+    state.apply(&Entry::Limits(Limits::from_settings(&fleet(6))));
     state
 }
 
-fn order(state: &mut Agreed, order: Order, knows: Option<u64>) -> Option<Refusal> {
+fn order(state: &mut PermitState, order: Order, known_orders: Option<u64>) -> Option<Refusal> {
     let ticket = 1 + state.outcomes.last().map_or(0, |o| o.0);
-    state.apply(&Entry::Order { order, by: "op".into(), knows, ticket });
+    state.apply(&Entry::Order { order, by: "op".into(), known_orders, ticket });
     state.outcomes.last().unwrap().1.clone()
 }
 
@@ -31,7 +33,7 @@
     // Two in all, one of each zone (a: even, b: odd).
     assert_eq!(s.permits.keys().collect::<Vec<_>>(), ["f0", "f1"]);
     assert_eq!(order(&mut s, out(0), None), None, "asking twice is asking once");
-    assert_eq!((s.permits.len(), s.waits.len()), (2, 2));
+    assert_eq!((s.permits.len(), s.waiting.len()), (2, 2));
     let number = s.permits["f0"].number;
     s.apply(&Entry::Took { front: "f0".into(), number, incarnation: 7 });
     assert_eq!(s.permits["f0"].phase, Phase::Granted, "not by another incarnation");
@@ -55,7 +57,7 @@
     assert_eq!(s.permits.len(), 1, "one planner's view is no majority");
     s.apply(&lost(1, &["f2", "f0"]));
     order(&mut s, out(1), None);
-    assert_eq!(s.waits.len(), 1, "f0 out, f2 lost: planned work waits");
+    assert_eq!(s.waiting.len(), 1, "f0 out, f2 lost: planned work waits");
     s.apply(&lost(0, &["f0"]));
     s.apply(&lost(1, &["f0"]));
     assert!(
@@ -92,8 +94,12 @@
     assert_eq!(order(&mut s, Order::Resume, Some(4)), None);
     assert_eq!(s.permits["f1"].phase, Phase::Granted);
     // The same order come twice is one deed.
-    let again =
-        Entry::Order { order: Order::Halt { why: "x".into() }, by: "op".into(), knows: None, ticket: 999 };
+    let again = Entry::Order {
+        order: Order::Halt { why: "x".into() },
+        by: "op".into(),
+        known_orders: None,
+        ticket: 999,
+    };
     s.apply(&again);
     order(&mut s, Order::Resume, None);
     s.apply(&again);
@@ -104,23 +110,23 @@
 fn a_holder_uses_a_permit_once_while_it_is_young_and_for_its_own_incarnation_only() {
     let permit = |number, phase| Permit { number, incarnation: 5, phase, cause: "c".into() };
     let within = 1_000;
-    let mut h = Holder::default();
-    h.shown(0, 6, Some(&permit(1, Phase::Granted)), within);
-    assert_eq!(h.word(), None, "another incarnation's");
-    h.shown(0, 5, Some(&permit(1, Phase::Granted)), within);
-    assert!(h.word() == Some((1, Word::Asks)) && !h.is_out());
-    h.shown(500, 5, Some(&permit(1, Phase::Taken)), within);
+    let mut h = PermitHolder::default();
+    h.observe(0, 6, Some(&permit(1, Phase::Granted)), within);
+    assert_eq!(h.message(), None, "another incarnation's");
+    h.observe(0, 5, Some(&permit(1, Phase::Granted)), within);
+    assert!(h.message() == Some((1, PermitMessage::Request)) && !h.is_out());
+    h.observe(500, 5, Some(&permit(1, Phase::Taken)), within);
     assert!(h.is_out());
-    h.shown(900, 5, Some(&permit(1, Phase::Returning)), within);
-    assert!(h.word() == Some((1, Word::In)) && !h.is_out());
+    h.observe(900, 5, Some(&permit(1, Phase::Returning)), within);
+    assert!(h.message() == Some((1, PermitMessage::In)) && !h.is_out());
     // From a planner that is behind: late, and twice.
-    h.shown(950, 5, Some(&permit(1, Phase::Taken)), within);
-    h.shown(950, 5, Some(&permit(1, Phase::Granted)), within);
-    assert_eq!(h.word(), Some((1, Word::In)));
+    h.observe(950, 5, Some(&permit(1, Phase::Taken)), within);
+    h.observe(950, 5, Some(&permit(1, Phase::Granted)), within);
+    assert_eq!(h.message(), Some((1, PermitMessage::In)));
     // It stood still between asking and hearing.
-    h.shown(2_000, 5, Some(&permit(2, Phase::Granted)), within);
-    h.shown(62_000, 5, Some(&permit(2, Phase::Taken)), within);
-    assert!(h.word() == Some((2, Word::Declines)) && !h.is_out());
+    h.observe(2_000, 5, Some(&permit(2, Phase::Granted)), within);
+    h.observe(62_000, 5, Some(&permit(2, Phase::Taken)), within);
+    assert!(h.message() == Some((2, PermitMessage::Decline)) && !h.is_out());
 }
 
 fn entry() -> impl Strategy<Value = Entry> {
@@ -133,7 +139,7 @@
         1 => Just(Order::Resume),
     ];
     prop_oneof![
-        4 => (orders, any::<u64>()).prop_map(move |(order, ticket)| Entry::Order { order, by: by.clone(), knows: None, ticket }),
+        4 => (orders, any::<u64>()).prop_map(move |(order, ticket)| Entry::Order { order, by: by.clone(), known_orders: None, ticket }),
         3 => ((0usize..6), 1u64..30).prop_map(|(f, number)| Entry::Took { front: format!("f{f}"), number, incarnation: 100 + f as u64 }),
         2 => (front(), 1u64..30).prop_map(|(front, number)| Entry::Done { front, number }),
         1 => ((0usize..3), prop::collection::btree_set(front(), 0..3)).prop_map(|(p, lost)| Entry::View { planner: format!("p{p}"), lost }),
@@ -152,7 +158,7 @@
             prop_assert!((0..2).all(|z| s.permits.keys().filter(|f| zone(f) == z).count() <= 1));
             // Nothing is granted where losses leave no room, nor under a halt.
             let granted = s.permits.iter().any(|(f, p)| before.get(f).is_none_or(|b| b.number != p.number));
-            let lost = s.lost().into_iter().filter(|f| !s.permits.contains_key(*f)).count();
+            let lost = s.lost_fronts().into_iter().filter(|f| !s.permits.contains_key(*f)).count();
             prop_assert!(!granted || s.halted.is_none() && s.permits.len() + lost <= 2);
             if n == entries.len() / 2 {
                 half = Some((n, postcard::to_stdvec(&s).unwrap()));
@@ -162,7 +168,7 @@
         entries.iter().for_each(|e| again.apply(e));
         prop_assert_eq!(postcard::to_stdvec(&again).unwrap(), postcard::to_stdvec(&s).unwrap());
         if let Some((n, bytes)) = half {
-            let mut from: Agreed = postcard::from_bytes(&bytes).unwrap();
+            let mut from: PermitState = postcard::from_bytes(&bytes).unwrap();
             entries[n + 1..].iter().for_each(|e| from.apply(e));
             prop_assert_eq!(from, s);
         }
--- a/crates/yarrowspoke-fleet/tests/record.rs
+++ b/crates/yarrowspoke-fleet/tests/record.rs
@@ -4,17 +4,17 @@
 
 use common::*;
 use proptest::prelude::*;
-use yarrowspoke_fleet::audit::{audit, Asked};
-use yarrowspoke_fleet::book::Book;
+use yarrowspoke_fleet::audit::{audit, AuditQuery};
+use yarrowspoke_fleet::report_log::ReportLog;
 use yarrowspoke_fleet::span::{Recorder, Report, Stance};
-use yarrowspoke_fleet::version::{List, Source, Standing, Version};
-use yarrowspoke_fleet::wire::{decode, encode, Heartbeat, Refused, SCHEMA};
+use yarrowspoke_fleet::version::{List, ListSource, Version, VersionOrder};
+use yarrowspoke_fleet::wire::{decode, encode, Heartbeat, MessageError, SCHEMA};
 
 /// A recorder that keeps so many, run through so many spans of one attempt each.
 fn recorded(spans: u64, keeps: usize) -> Recorder {
     let mut recorder = Recorder::new(0, version(), keeps);
     for n in 1..=spans {
-        recorder.attempt(n as u32 % 3, 1);
+        recorder.record_attempt(n as u32 % 3, 1);
         recorder.close(n * 1_000, 5_000 + n * 1_000, version(), Stance::Open);
     }
     recorder
@@ -24,8 +24,8 @@
     reports.into_iter().flat_map(|r| &r.span.attempts).map(|a| a.2).sum()
 }
 
-fn filled(reports: &[Report]) -> Book {
-    let mut book = Book::default();
+fn filled(reports: &[Report]) -> ReportLog {
+    let mut book = ReportLog::default();
     reports.iter().for_each(|r| drop(book.insert("f0", 1, r.clone())));
     book
 }
@@ -36,13 +36,13 @@
         spans in 1u64..60, keeps in 2usize..40, shuffled in prop::collection::vec((0usize..100, 0usize..3), 0..200)
     ) {
         // One planner has them one by one, another as they were joined for want of room.
-        let mut all = recorded(spans, 1_000).behind(0, 1_000);
-        all.extend(recorded(spans, keeps).behind(0, 1_000));
-        let mut books = [Book::default(), Book::default(), Book::default()];
+        let mut all = recorded(spans, 1_000).reports_after(0, 1_000);
+        all.extend(recorded(spans, keeps).reports_after(0, 1_000));
+        let mut books = [ReportLog::default(), ReportLog::default(), ReportLog::default()];
         for (n, b) in shuffled {
             let _ = books[b].insert("f0", 1, all[n % all.len()].clone());
         }
-        let mut one = Book::default();
+        let mut one = ReportLog::default();
         for b in [2, 0, 1, 0] {
             one.merge(&books[b]);
         }
@@ -65,8 +65,8 @@
 #[test]
 fn a_front_out_of_reach_keeps_bounded_memory_and_drops_nothing_in_silence() {
     let recorder = recorded(5_000, 64);
-    let kept = recorder.behind(0, 10_000);
-    assert_eq!((recorder.kept(), attempts(&kept)), (64, 5_000));
+    let kept = recorder.reports_after(0, 10_000);
+    assert_eq!((recorder.retained(), attempts(&kept)), (64, 5_000));
     assert!(kept[0].last > kept[0].first, "it says that it was joined");
     assert!(kept.windows(2).all(|p| p[0].last + 1 == p[1].first && p[0].link == p[1].before));
     let book = filled(&kept);
@@ -75,19 +75,19 @@
 
 #[test]
 fn lost_altered_and_doubled_reports_show() {
-    let reports = recorded(10, 100).behind(0, 100);
+    let reports = recorded(10, 100).reports_after(0, 100);
     let mut book = filled(&[&reports[..4], &reports[6..]].concat());
-    book.head("f0", 1, 12);
+    book.record_head("f0", 1, 12);
     assert_eq!(book.gaps("f0", 1), [(5, 6), (11, 12)]);
-    assert_eq!(book.held_to("f0", 1), 4);
-    let unknown = audit(&book, &Asked::default()).incarnations[0].unknown.clone();
+    assert_eq!(book.contiguous_through("f0", 1), 4);
+    let unknown = audit(&book, &AuditQuery::default()).incarnations[0].unknown.clone();
     // Two gaps, and the stretch behind the last span: each with the end of what is known before it.
     assert_eq!(unknown.iter().map(|u| u.after).collect::<Vec<_>>(), [4, 10, 10]);
     assert_eq!((unknown[0].from, unknown[0].until_wall), (4_000, Some(5_000 + 6_000)));
 
     let mut altered = reports[5].clone();
     altered.span.votes += 1;
-    assert!(matches!(book.insert("f0", 1, altered.clone()), Err(Refused::Report(6, _))));
+    assert!(matches!(book.insert("f0", 1, altered.clone()), Err(MessageError::InvalidReport(6, _))));
     altered.link = yarrowspoke_fleet::span::link(&altered.before, 6, &altered.span);
     assert!(book.insert("f0", 1, altered).unwrap());
     assert!(!book.insert("f0", 1, reports[5].clone()).unwrap(), "another one under its number is kept out");
@@ -100,17 +100,17 @@
 
 #[test]
 fn a_filter_does_not_make_what_is_unknown_look_fine() {
-    let reports = recorded(10, 100).behind(0, 100);
+    let reports = recorded(10, 100).reports_after(0, 100);
     let book = filled(&[&reports[..2], &reports[5..]].concat());
-    let drawn = audit(&book, &Asked { index: Some(99), ..Asked::default() });
+    let drawn = audit(&book, &AuditQuery { index: Some(99), ..AuditQuery::default() });
     assert!(drawn.incarnations[0].rows.is_empty() && drawn.incarnations[0].unknown.len() == 2);
-    let drawn = audit(&book, &Asked { from: Some(13_500), ..Asked::default() });
+    let drawn = audit(&book, &AuditQuery { from: Some(13_500), ..AuditQuery::default() });
     assert_eq!(drawn.incarnations[0].rows.iter().map(|r| r.numbers.0).collect::<Vec<_>>(), [9, 10]);
 }
 
 #[test]
 fn what_is_given_up_for_age_is_no_gap_and_the_rest_stays() {
-    let reports = recorded(10, 100).behind(0, 100);
+    let reports = recorded(10, 100).reports_after(0, 100);
     let mut book = filled(&reports);
     let gone = book.prune(5_000 + 3_500, u64::MAX);
     assert_eq!(gone.iter().map(|g| g.2).collect::<Vec<_>>(), [1, 2, 3]);
@@ -118,77 +118,89 @@
     assert!(!book.insert("f0", 1, reports[0].clone()).unwrap(), "it does not come back from another planner");
     let half = book.bytes() / 2;
     book.prune(0, half);
-    assert!(book.bytes() <= half && book.held_to("f0", 1) == 10);
+    assert!(book.bytes() <= half && book.contiguous_through("f0", 1) == 10);
 }
 
 #[test]
 fn another_planner_gets_just_what_it_lacks() {
-    let reports = recorded(20, 100).behind(0, 100);
+    let reports = recorded(20, 100).reports_after(0, 100);
     let (full, mut part) = (filled(&reports), filled(&[&reports[..3], &reports[8..12]].concat()));
-    for (front, incarnation, report) in full.lacking(&part.have(), u64::MAX) {
+    for (front, incarnation, report) in full.missing_from(&part.held_ranges(), u64::MAX) {
         assert!(part.insert(&front, incarnation, report).unwrap());
     }
     assert_eq!(part.view("f0", 1), full.view("f0", 1));
-    assert!(full.lacking(&part.have(), u64::MAX).is_empty());
+    assert!(full.missing_from(&part.held_ranges(), u64::MAX).is_empty());
 }
 
 #[test]
 fn versions_compare_part_by_part_and_not_comparable_is_an_answer() {
-    let list = |index, epoch, digest| List { index, source: Source::Discovery, epoch, digest };
-    assert_eq!(list(5, 0, 1).stands(&list(4, 0, 1)), Standing::Newer);
-    assert_eq!(list(5, 0, 1).stands(&list(5, 0, 2)), Standing::NotComparable);
-    assert_eq!(list(2, 1, 1).stands(&list(5, 0, 1)), Standing::NotComparable);
-    assert_eq!(news(2, 0, 5).stands(&news(2, 0, 9)), Standing::NotComparable);
-    assert_eq!(news(2, 2, 0).stands(&news(2, 0, 9)), Standing::Newer);
-    assert_eq!(news(2, 3, 0).stands(&news(3, 0, 9)), Standing::Older);
-    assert!(news(2, 2, 0).narrows(&news(2, 0, 9)) && news(2, 0, 4).narrows(&news(2, 0, 9)));
-    assert!(!news(2, 1, 1_000_000).narrows(&news(2, 0, 9)) && !news(3, 2, 0).narrows(&news(2, 0, 9)));
-    let on = |list, news| Version { list, news, ..version() };
-    let stands = on(list(5, 0, 1), Some(news(2, 0, 9))).stands(&on(list(4, 0, 1), Some(news(2, 2, 0))));
-    assert_eq!(stands, [Standing::Newer, Standing::Older]);
+    let list = |index, epoch, digest| List { index, source: ListSource::Discovery, epoch, digest };
+    assert_eq!(list(5, 0, 1).compare(&list(4, 0, 1)), VersionOrder::Newer);
+    assert_eq!(list(5, 0, 1).compare(&list(5, 0, 2)), VersionOrder::NotComparable);
+    assert_eq!(list(2, 1, 1).compare(&list(5, 0, 1)), VersionOrder::NotComparable);
+    assert_eq!(rollout(2, 0, 5).compare(&rollout(2, 0, 9)), VersionOrder::NotComparable);
+    assert_eq!(rollout(2, 2, 0).compare(&rollout(2, 0, 9)), VersionOrder::Newer);
+    assert_eq!(rollout(2, 3, 0).compare(&rollout(3, 0, 9)), VersionOrder::Older);
+    assert!(
+        rollout(2, 2, 0).is_narrower_than(&rollout(2, 0, 9))
+            && rollout(2, 0, 4).is_narrower_than(&rollout(2, 0, 9))
+    );
+    assert!(
+        !rollout(2, 1, 1_000_000).is_narrower_than(&rollout(2, 0, 9))
+            && !rollout(3, 2, 0).is_narrower_than(&rollout(2, 0, 9))
+    );
+    let on = |list, rollout| Version { list, rollout, ..version() };
+    let order = on(list(5, 0, 1), Some(rollout(2, 0, 9))).compare(&on(list(4, 0, 1), Some(rollout(2, 2, 0))));
+    assert_eq!(order, [VersionOrder::Newer, VersionOrder::Older]);
 }
 
 #[test]
 fn what_cannot_be_is_refused_by_name_and_nothing_of_it_is_believed() {
     let mut rig = Rig::new(fleet(2));
     rig.run(3, &[]);
-    let held = rig.planners[0].book.view("f0", 100).len();
+    let held = rig.planners[0].report_log.view("f0", 100).len();
     let mut recorder = recorded(3, 10);
-    recorder.vote();
+    recorder.record_vote();
     let refused = |rig: &mut Rig, change: &dyn Fn(&mut Heartbeat)| {
         let mut heartbeat = rig.fronts[0].heartbeat(0, rig.now);
         change(&mut heartbeat);
-        rig.planners[0].take(rig.now, heartbeat).unwrap_err()
+        rig.planners[0].handle_heartbeat(rig.now, heartbeat).unwrap_err()
     };
-    assert_eq!(refused(&mut rig, &|a| a.front = "p1".into()), Refused::Stranger("p1".into()));
-    assert_eq!(refused(&mut rig, &|a| a.front = "x".into()), Refused::Stranger("x".into()));
+    assert_eq!(refused(&mut rig, &|a| a.front = "p1".into()), MessageError::UnknownSender("p1".into()));
+    assert_eq!(refused(&mut rig, &|a| a.front = "x".into()), MessageError::UnknownSender("x".into()));
     let bad = |change: fn(&mut Report)| {
-        let reports = recorded(3, 10).behind(0, 10);
+        let reports = recorded(3, 10).reports_after(0, 10);
         move |a: &mut Heartbeat| {
             a.reports = reports.clone();
             change(&mut a.reports[1]);
         }
     };
-    assert!(matches!(refused(&mut rig, &bad(|r| r.last = 0)), Refused::Report(2, "its numbers fall")));
+    assert!(matches!(
+        refused(&mut rig, &bad(|r| r.last = 0)),
+        MessageError::InvalidReport(2, "its numbers fall")
+    ));
     assert!(matches!(
         refused(&mut rig, &bad(|r| r.span.to = 0)),
-        Refused::Report(2, "it ends before it begins")
+        MessageError::InvalidReport(2, "it ends before it begins")
     ));
-    assert!(matches!(refused(&mut rig, &bad(|r| r.span.taken = 9)), Refused::Report(2, _)));
-    let many = |a: &mut Heartbeat| a.reports = vec![recorded(1, 10).behind(0, 1)[0].clone(); 65];
-    assert_eq!(refused(&mut rig, &many), Refused::Many(65));
-    assert_eq!(rig.planners[0].book.view("f0", 100).len(), held);
+    assert!(matches!(refused(&mut rig, &bad(|r| r.span.admitted = 9)), MessageError::InvalidReport(2, _)));
+    let many = |a: &mut Heartbeat| a.reports = vec![recorded(1, 10).reports_after(0, 1)[0].clone(); 65];
+    assert_eq!(refused(&mut rig, &many), MessageError::TooManyReports(65));
+    assert_eq!(rig.planners[0].report_log.view("f0", 100).len(), held);
     let status = rig.planners[0].status(rig.now);
     assert_eq!(status.refused.values().sum::<u64>(), 6);
 
     let good = encode(&rig.fronts[0].heartbeat(0, rig.now));
     assert!(decode::<Heartbeat>(&good).is_ok());
-    assert_eq!(decode::<Heartbeat>(b"GET / HTTP/1.1").unwrap_err(), Refused::Alien);
-    assert_eq!(decode::<Heartbeat>(b"ys").unwrap_err(), Refused::Alien);
+    assert_eq!(decode::<Heartbeat>(b"GET / HTTP/1.1").unwrap_err(), MessageError::UnknownFormat);
+    assert_eq!(decode::<Heartbeat>(b"ys").unwrap_err(), MessageError::UnknownFormat);
     let mut newer = good.clone();
     newer[4] = (SCHEMA + 1) as u8;
-    assert_eq!(decode::<Heartbeat>(&newer).unwrap_err(), Refused::Schema(SCHEMA + 1));
+    assert_eq!(decode::<Heartbeat>(&newer).unwrap_err(), MessageError::UnsupportedSchema(SCHEMA + 1));
     for cut in 6..good.len() {
-        assert!(matches!(decode::<Heartbeat>(&good[..cut]), Err(Refused::Unreadable(_))), "cut at {cut}");
+        assert!(
+            matches!(decode::<Heartbeat>(&good[..cut]), Err(MessageError::Unreadable(_))),
+            "cut at {cut}"
+        );
     }
 }
--- a/crates/yarrowspoke-front/src/agree.rs
+++ b/crates/yarrowspoke-front/src/agree.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::io;
 use std::path::Path;
-use yarrowspoke_fleet::agreed::{Agreed, Entry};
+use yarrowspoke_fleet::permits::{Entry, PermitState};
 use yarrowspoke_store::journal::Journal;
 
 /// Ticks between two rounds of heartbeats, and between two times that something lost is sent again.
@@ -197,7 +197,7 @@
 pub struct Agree {
     paxos: OmniPaxos<Logged, Log>,
     /// The state agreed on, as far as it is known here.
-    pub state: Agreed,
+    pub state: PermitState,
     applied: usize,
     names: Vec<String>,
     name: String,
@@ -247,7 +247,7 @@
         let empty = BTreeMap::new;
         let mut agree = Self {
             paxos,
-            state: Agreed::default(),
+            state: PermitState::default(),
             applied: 0,
             names,
             name: name.to_owned(),
--- a/crates/yarrowspoke-front/src/cli.rs
+++ b/crates/yarrowspoke-front/src/cli.rs
@@ -297,7 +297,7 @@
                 let _ = writeln!(
                     text,
                     "fleet: {fronts} fronts, {planners} planners, at most {} out",
-                    section.fleet.most_out.of(fronts)
+                    section.fleet.most_out.resolve(fronts)
                 );
                 for (line, column, warning) in &section.warnings {
                     let _ = writeln!(text, "warning: {path}:{line}:{column}: {warning}");
--- a/crates/yarrowspoke-front/src/fleets.rs
+++ b/crates/yarrowspoke-front/src/fleets.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use yarrowspoke_fleet::audit::{audit as draw, Asked, Audit};
+use yarrowspoke_fleet::audit::{audit as draw, Audit, AuditQuery};
 use yarrowspoke_fleet::version::Version;
 
 /// How long a planner may take to answer an operator.
@@ -92,7 +92,7 @@
 
 fn record(from: &RecordAt, of: &AskedOf) -> Result<Audit, String> {
     let asked =
-        Asked { front: of.front.clone(), index: of.version, from: micros(of.from)?, to: micros(of.to)? };
+        AuditQuery { front: of.front.clone(), index: of.version, from: micros(of.from)?, to: micros(of.to)? };
     if let Some(dir) = &from.dir {
         let (book, spoilt) = planner::read_book(dir)?;
         if !spoilt.is_empty() {
@@ -129,7 +129,7 @@
             while let Some(first) = one.rows.get(at) {
                 let same = |r: &&yarrowspoke_fleet::audit::Row| {
                     (r.span.version, r.span.stance) == (first.span.version, first.span.stance)
-                        && r.span.until == first.span.until
+                        && r.span.last_version == first.span.last_version
                 };
                 let run: Vec<_> = one.rows[at..].iter().take_while(same).collect();
                 at += run.len();
--- a/crates/yarrowspoke-front/src/main.rs
+++ b/crates/yarrowspoke-front/src/main.rs
@@ -9,7 +9,7 @@
 fn main() -> ExitCode {
     // Only builds made to try the rig's checker have any; a release build knows none.
     if let Ok(name) = std::env::var("YARROWSPOKE_MUTANT") {
-        yarrowspoke_fleet::mutant::put_on(&name);
+        yarrowspoke_fleet::mutant::enable(&name);
     }
     match Cli::parse().command {
         None => serve(None),
--- a/crates/yarrowspoke-front/src/member.rs
+++ b/crates/yarrowspoke-front/src/member.rs
@@ -19,11 +19,11 @@
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use yarrowspoke::interface::{Build, ListKind, MachineId, MachineState, Micros, News, Phase};
-use yarrowspoke_fleet::front::{Change, FrontSide, TakenAway};
+use yarrowspoke_fleet::front::{FrontSide, ResponseEffect, Restrictions};
 use yarrowspoke_fleet::settings::Fleet;
 use yarrowspoke_fleet::span::Stance;
-use yarrowspoke_fleet::version::{self, digest, Source, Version};
-use yarrowspoke_fleet::wire::{decode_listing, encode_listing, Answer};
+use yarrowspoke_fleet::version::{self, digest, ListSource, Version};
+use yarrowspoke_fleet::wire::{decode_with_list, encode_with_list, HeartbeatResponse};
 
 /// Least time between two times at which the front's own sources are asked again for being behind.
 const AGAIN_EVERY: Duration = Duration::from_secs(2);
@@ -67,9 +67,9 @@
     PHASES.iter().position(|q| *q == p).unwrap_or(0) as u8
 }
 
-fn told(news: &News) -> version::News {
+fn told(news: &News) -> version::RolloutStatus {
     let cap = (news.cap.clamp(0.0, 1.0) * 1e6).round() as u32;
-    version::News { build: news.build, stage: news.stage, phase: phase(news.phase), cap }
+    version::RolloutStatus { build: news.build, stage: news.stage, phase: phase(news.phase), cap }
 }
 
 /// The member.
@@ -81,9 +81,9 @@
     /// What the module was last told of each machine.
     shown: RefCell<BTreeMap<MachineId, (MachineState, Build)>>,
     /// By what was left out of that.
-    taken_away: Cell<Option<TakenAway>>,
+    taken_away: Cell<Option<Restrictions>>,
     news: Cell<Option<News>>,
-    shown_news: Cell<Option<version::News>>,
+    shown_news: Cell<Option<version::RolloutStatus>>,
     again: Cell<Option<Instant>>,
     stance: Cell<Stance>,
     come_back: Micros,
@@ -100,8 +100,8 @@
         most_back: Micros,
     ) -> Rc<Self> {
         let (config, operator, settings) = digests;
-        let list = version::List { index: 0, source: Source::Held, epoch: 0, digest: 0 };
-        let version = Version { list, news: None, config, operator, settings, program: program() };
+        let list = version::List { index: 0, source: ListSource::Cached, epoch: 0, digest: 0 };
+        let version = Version { list, rollout: None, config, operator, settings, program: program() };
         let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |d| d.as_micros() as u64);
         let come_back = fleet.back_after.max(fleet.renew).min(most_back);
         Rc::new(Self {
@@ -131,7 +131,7 @@
 
     /// Whether a new request may be taken now. Looked at for each: a process that stood still wakes on an old lease.
     pub fn takes(&self) -> bool {
-        self.side.borrow().takes(self.now())
+        self.side.borrow().admits_requests(self.now())
     }
 
     /// When one that is not taken may come back.
@@ -146,27 +146,27 @@
 
     /// Whether nothing may be sent there now, whatever the module knows yet.
     pub fn leaves_out(&self, machine: MachineId, build: Build) -> bool {
-        self.side.borrow().leaves_out(self.now(), machine, build)
+        self.side.borrow().excludes(self.now(), machine, build)
     }
 
     /// A request is taken.
     pub fn taken(&self) {
-        self.side.borrow_mut().recorder().taken();
+        self.side.borrow_mut().recorder().record_admitted();
     }
 
     /// An attempt is sent.
     pub fn attempt(&self, machine: MachineId, build: Build) {
-        self.side.borrow_mut().recorder().attempt(machine, build);
+        self.side.borrow_mut().recorder().record_attempt(machine, build);
     }
 
     /// A vote is cast.
     pub fn vote(&self) {
-        self.side.borrow_mut().recorder().vote();
+        self.side.borrow_mut().recorder().record_vote();
     }
 
     /// A request is refused or failed.
     pub fn given_up(&self) {
-        self.side.borrow_mut().recorder().given_up();
+        self.side.borrow_mut().recorder().record_failed();
     }
 
     /// Its own sources told a list, or a part of it; what the module is to be told instead.
@@ -191,8 +191,8 @@
             }
             let ready = there().filter(|r| r.entry.state == MachineState::Ready);
             let ready = ready.map(|r| (r.entry.machine, r.entry.build)).collect();
-            let source = if kind == ListKind::Cached { Source::Held } else { Source::Discovery };
-            self.side.borrow_mut().listed(self.clocks(), (index, digest(&text)), source, ready);
+            let source = if kind == ListKind::Cached { ListSource::Cached } else { ListSource::Discovery };
+            self.side.borrow_mut().list_received(self.clocks(), (index, digest(&text)), source, ready);
         }
         // All that is new has to be told, also where it looks as before.
         for row in &rows {
@@ -208,7 +208,7 @@
 
     /// Whether something else is left out than when it was last looked at.
     fn is_otherwise(&self) -> bool {
-        let now = Some(self.side.borrow().taken_away(self.now()));
+        let now = Some(self.side.borrow().restrictions(self.now()));
         self.taken_away.replace(now) != now
     }
 
@@ -228,7 +228,7 @@
         let mut out = Vec::new();
         for row in rows {
             let (machine, build, mut state) = (row.entry.machine, row.entry.build, row.entry.state);
-            if state == MachineState::Ready && side.leaves_out(now, machine, build) {
+            if state == MachineState::Ready && side.excludes(now, machine, build) {
                 state = MachineState::Draining;
             }
             if shown.insert(machine, (state, build)) != Some((state, build)) {
@@ -241,8 +241,8 @@
     }
 
     fn narrowed(&self, news: News) -> News {
-        match self.side.borrow().narrower_news() {
-            Some(n) if n.narrows(&told(&news)) => {
+        match self.side.borrow().restricting_rollout() {
+            Some(n) if n.is_narrower_than(&told(&news)) => {
                 let (phase, cap) = (PHASES[usize::from(n.phase.min(3))], f64::from(n.cap) / 1e6);
                 News { phase, cap: cap.min(news.cap), ..news }
             }
@@ -252,7 +252,7 @@
 
     /// Its own source told news; what the module is to be told instead.
     pub fn told(&self, news: News) -> News {
-        self.side.borrow_mut().told(self.clocks(), told(&news));
+        self.side.borrow_mut().rollout_received(self.clocks(), told(&news));
         self.news.set(Some(news));
         let news = self.narrowed(news);
         self.shown_news.set(Some(told(&news)));
@@ -263,7 +263,7 @@
     pub fn changed_news(&self) -> Option<News> {
         let narrowed = News { answer: false, age: 0, ..self.narrowed(self.news.get()?) };
         let now = told(&narrowed);
-        let changed = self.shown_news.get().is_some_and(|shown| now.narrows(&shown));
+        let changed = self.shown_news.get().is_some_and(|shown| now.is_narrower_than(&shown));
         changed.then(|| {
             self.shown_news.set(Some(now));
             log::warn!(build = now.build, phase:? = narrowed.phase, cap = narrowed.cap; "fleet: reconciled by planners");
@@ -274,9 +274,9 @@
     /// The files were read again.
     pub fn reread(&self, digests: Digests, fleet: Option<Fleet>) {
         let mut side = self.side.borrow_mut();
-        side.reread(self.clocks(), digests);
+        side.files_reloaded(self.clocks(), digests);
         if let Some(fleet) = fleet {
-            side.restate(fleet);
+            side.replace_settings(fleet);
         }
     }
 
@@ -284,19 +284,19 @@
         let (now, wall) = self.clocks();
         let mut side = self.side.borrow_mut();
         if let Some(heard) = self.discovery.heard() {
-            side.confirmed(heard.saturating_duration_since(self.begun).as_micros() as Micros);
+            side.list_confirmed(heard.saturating_duration_since(self.begun).as_micros() as Micros);
         }
         side.tick(now, wall);
         let stance = side.stance(now);
         if self.stance.replace(stance) != stance {
-            let (list, kept) = (side.version().list.index, side.recorder().kept());
+            let (list, kept) = (side.version().list.index, side.recorder().retained());
             log::warn!(stance:?, list, kept; "fleet: stands");
         }
     }
 
-    fn answered(&self, planner: usize, sent_at: Micros, answer: Answer) -> Change {
-        let change = self.side.borrow_mut().answered(planner, sent_at, self.now(), answer);
-        if self.twin.replace(change.twin) != change.twin && change.twin {
+    fn answered(&self, planner: usize, sent_at: Micros, answer: HeartbeatResponse) -> ResponseEffect {
+        let change = self.side.borrow_mut().heartbeat_answered(planner, sent_at, self.now(), answer);
+        if self.twin.replace(change.duplicate_name) != change.duplicate_name && change.duplicate_name {
             log::error!("fleet: another process runs under this front's name");
         }
         change
@@ -342,28 +342,28 @@
         };
         let begun = Instant::now();
         let sent_at = member.now();
-        let body = encode_listing(&mut member.side.borrow_mut().heartbeat(n, sent_at));
+        let body = encode_with_list(&mut member.side.borrow_mut().heartbeat(n, sent_at));
         let exchanged = exchange(&mut line, address, ("POST", "/fleet/report"), &body);
         let answer = within((lease / 4).max(renew), exchanged).await;
         let heard = match answer {
-            Some(Ok(bytes)) => decode_listing::<Answer>(&bytes).map_err(|e| e.to_string()),
+            Some(Ok(bytes)) => decode_with_list::<HeartbeatResponse>(&bytes).map_err(|e| e.to_string()),
             Some(Err(LinkError::Status(status, why))) => Err(format!("refused with {status}: {why}")),
             Some(Err(e)) => {
-                member.side.borrow_mut().failed(n, sent_at);
+                member.side.borrow_mut().heartbeat_failed(n, sent_at);
                 Err(e.to_string())
             }
             None => {
-                member.side.borrow_mut().failed(n, sent_at);
+                member.side.borrow_mut().heartbeat_failed(n, sent_at);
                 Err("no answer in time".to_owned())
             }
         };
         match heard {
             Ok(answer) if answer.planner == name => {
                 let change = member.answered(n, sent_at, answer);
-                if change.narrowed {
+                if change.restricted {
                     let _ = inputs.send(Input::Fleet).await;
                 }
-                if change.again && member.asks_again() {
+                if change.refetch && member.asks_again() {
                     let _ = inputs.send(Input::AskAgain).await;
                 }
             }
@@ -391,7 +391,7 @@
         let now = member.now();
         let (due, renew) = {
             let mut side = member.side.borrow_mut();
-            (side.due(n, now), side.fleet().renew)
+            (side.next_heartbeat_at(n, now), side.fleet().renew)
         };
         if due <= now {
             return;
--- a/crates/yarrowspoke-front/src/planner.rs
+++ b/crates/yarrowspoke-front/src/planner.rs
@@ -15,13 +15,15 @@
 use std::rc::Rc;
 use std::sync::mpsc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use yarrowspoke_fleet::agreed::{Entry, Limits, Order, Phase, Word};
-use yarrowspoke_fleet::audit::{audit, Asked};
-use yarrowspoke_fleet::book::Book;
+use yarrowspoke_fleet::audit::{audit, AuditQuery};
+use yarrowspoke_fleet::permits::{Entry, Limits, Order, PermitMessage, Phase};
 use yarrowspoke_fleet::planner::Planner;
+use yarrowspoke_fleet::report_log::ReportLog;
 use yarrowspoke_fleet::settings::{Fleet, Role};
 use yarrowspoke_fleet::span::Report;
-use yarrowspoke_fleet::wire::{decode, decode_listing, encode, encode_listing, Heartbeat, Pull, Pushed};
+use yarrowspoke_fleet::wire::{
+    decode, decode_with_list, encode, encode_with_list, Heartbeat, Pull, PullResponse,
+};
 use yarrowspoke_store::reports::{Key, Reports};
 
 /// How often what came is handed to the disk, and steps are looked at.
@@ -45,9 +47,9 @@
 type Write = (Vec<(Key, Report)>, Vec<Key>);
 
 /// Reads what a directory keeps; what could not be read, beside it.
-pub fn read_book(dir: &Path) -> Result<(Book, Vec<String>), String> {
+pub fn read_book(dir: &Path) -> Result<(ReportLog, Vec<String>), String> {
     let read = Reports::open(dir).and_then(|r| r.read::<Report>()).map_err(|e| e.to_string())?;
-    let (mut book, mut spoilt) = (Book::default(), read.spoilt);
+    let (mut book, mut spoilt) = (ReportLog::default(), read.spoilt);
     for ((front, incarnation, ..), report) in read.reports {
         if let Err(e) = book.insert(&front, incarnation, report) {
             spoilt.push(format!("{front} incarnation {incarnation}: {e}"));
@@ -84,7 +86,7 @@
         match (head.method.as_str(), path) {
             ("POST", "/fleet/report") => self.report(body),
             ("POST", "/fleet/pull") => match decode::<Pull>(body) {
-                Ok(pull) => match self.planner.borrow().push(self.now(), &pull) {
+                Ok(pull) => match self.planner.borrow().answer_pull(self.now(), &pull) {
                     Ok(pushed) => LinkAnswer::ok(encode(&pushed)),
                     Err(e) => LinkAnswer::refused(400, e),
                 },
@@ -92,7 +94,7 @@
             },
             ("GET", "/fleet/status") => json(&self.planner.borrow().status(self.now())),
             ("GET", "/fleet/audit") => match asked(query) {
-                Ok(asked) => json(&audit(&self.planner.borrow().book, &asked)),
+                Ok(asked) => json(&audit(&self.planner.borrow().report_log, &asked)),
                 Err(why) => LinkAnswer::refused(400, why),
             },
             ("POST", "/fleet/agree") => match decode::<Batch>(body) {
@@ -126,7 +128,7 @@
             Err(e) => return LinkAnswer::refused(400, e),
         };
         let order = match asked.what.as_str() {
-            "out" => match self.planner.borrow().incarnation(&asked.front, self.now()) {
+            "out" => match self.planner.borrow().live_incarnation(&asked.front, self.now()) {
                 Some((incarnation, _)) => Order::Out { front: asked.front, incarnation, cause: asked.why },
                 None => return LinkAnswer::refused(400, format!("{:?} is not heard here", asked.front)),
             },
@@ -142,7 +144,7 @@
         match self.agree.borrow_mut().as_mut() {
             Some(agree) => {
                 let (by, knows, ticket) = (asked.by, asked.knows, asked.ticket);
-                agree.propose(Entry::Order { order, by, knows, ticket });
+                agree.propose(Entry::Order { order, by, known_orders: knows, ticket });
                 LinkAnswer::ok(b"proposed\n".to_vec())
             }
             None => LinkAnswer::refused(400, APART),
@@ -161,33 +163,35 @@
         let (now, mut agree) = (self.now(), self.agree.borrow_mut());
         let Some(agree) = agree.as_mut() else { return };
         let mut planner = self.planner.borrow_mut();
-        planner.show(now, &agree.state.permits, agree.state.last);
+        planner.set_permits(now, &agree.state.permits, agree.state.last_permit_number);
         let mut entries = Vec::new();
         if agree.state.limits != *limits && agree.leader() == Some(agree.name()) {
             entries.push(("limits".to_owned(), Entry::Limits(limits.clone())));
         }
-        let lost = planner.lost(now);
-        if planner.knows(now) && agree.state.views.get(agree.name()) != Some(&lost) {
+        let lost = planner.lost_fronts(now);
+        if planner.is_warmed_up(now) && agree.state.views.get(agree.name()) != Some(&lost) {
             let view = Entry::View { planner: agree.name().to_owned(), lost: lost.clone() };
             entries.push((format!("view {lost:?}"), view));
         }
-        for (front, incarnation, number, word) in planner.words(now) {
+        for (front, incarnation, number, word) in planner.permit_messages(now) {
             let Some(permit) = agree.state.permits.get(&front).filter(|p| p.number == number) else {
                 continue;
             };
             let entry = match (word, permit.phase) {
-                (Word::Asks, Phase::Granted) => Entry::Took { front, number, incarnation },
-                (Word::In, _) if planner.incarnation(&front, now) == Some((incarnation, true)) => {
+                (PermitMessage::Request, Phase::Granted) => Entry::Took { front, number, incarnation },
+                (PermitMessage::In, _)
+                    if planner.live_incarnation(&front, now) == Some((incarnation, true)) =>
+                {
                     Entry::Done { front, number }
                 }
-                (Word::Declines, _) => Entry::Done { front, number },
+                (PermitMessage::Decline, _) => Entry::Done { front, number },
                 _ => continue,
             };
             entries.push((format!("{entry:?}"), entry));
         }
         // A holder is done only once it is seen in service: here, in a later incarnation than the one that held the permit.
         for (front, permit) in &agree.state.permits {
-            if planner.came_back(front, permit, now) {
+            if planner.has_returned(front, permit, now) {
                 let entry = Entry::Done { front: front.clone(), number: permit.number };
                 entries.push((format!("{entry:?}"), entry));
             }
@@ -199,23 +203,23 @@
         }
     }
 
-    fn refuse(&self, why: yarrowspoke_fleet::wire::Refused) -> LinkAnswer {
-        self.planner.borrow_mut().count_refused(&why);
+    fn refuse(&self, why: yarrowspoke_fleet::wire::MessageError) -> LinkAnswer {
+        self.planner.borrow_mut().count_rejected(&why);
         log::warn!("fleet: a message is refused: {why}");
         LinkAnswer::refused(400, why)
     }
 
     fn report(&self, body: &[u8]) -> LinkAnswer {
-        let heartbeat = match decode_listing::<Heartbeat>(body) {
+        let heartbeat = match decode_with_list::<Heartbeat>(body) {
             Ok(heartbeat) => heartbeat,
             Err(e) => return self.refuse(e),
         };
         let (front, incarnation, reports) =
             (heartbeat.front.clone(), heartbeat.incarnation, heartbeat.reports.clone());
-        match self.planner.borrow_mut().take(self.now(), heartbeat) {
+        match self.planner.borrow_mut().handle_heartbeat(self.now(), heartbeat) {
             Ok(mut answer) => {
                 reports.into_iter().for_each(|r| self.keep(&front, incarnation, r));
-                LinkAnswer::ok(encode_listing(&mut answer))
+                LinkAnswer::ok(encode_with_list(&mut answer))
             }
             Err(why) => {
                 log::warn!(front = front.as_str(), why:%; "fleet: a heartbeat is refused");
@@ -248,8 +252,8 @@
 }
 
 /// What part of an audit a query asks for.
-pub fn asked(query: &str) -> Result<Asked, String> {
-    let mut asked = Asked::default();
+pub fn asked(query: &str) -> Result<AuditQuery, String> {
+    let mut asked = AuditQuery::default();
     for part in query.split('&').filter(|p| !p.is_empty()) {
         let (name, value) = part.split_once('=').unwrap_or((part, ""));
         let number =
@@ -275,7 +279,7 @@
     let member =
         member.ok_or_else(|| format!("{shown}: no planner {name}, expected one of {}", names.join(", ")))?;
     let address = member.address.ok_or_else(|| format!("{shown}: the planner {name} has no address"))?;
-    let (mut book, mut writes, mut disk) = (Book::default(), None, None);
+    let (mut book, mut writes, mut disk) = (ReportLog::default(), None, None);
     let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |d| d.as_micros() as u64);
     let agree = take_part(&fleet, name, incarnation, dir.as_deref(), found)?;
     if let Some(dir) = dir {
@@ -317,7 +321,7 @@
     fleet: Fleet,
     (name, incarnation): (&str, u64),
     address: SocketAddr,
-    (book, agree): (Book, Option<Agree>),
+    (book, agree): (ReportLog, Option<Agree>),
     writes: Option<mpsc::SyncSender<Write>>,
     executor: Rc<LocalExecutor<'static>>,
 ) -> std::io::Result<()> {
@@ -329,7 +333,7 @@
         .filter(|p| p.name != name)
         .filter_map(|p| Some((p.name.clone(), p.address?)))
         .collect();
-    let (bounds, limits) = ((fleet.keep, fleet.keep_bytes), Limits::of(&fleet));
+    let (bounds, limits) = ((fleet.keep, fleet.keep_bytes), Limits::from_settings(&fleet));
     let running = Rc::new(Running {
         planner: RefCell::new(Planner::new(fleet, name, incarnation, 0, book)),
         agree: RefCell::new(agree),
@@ -373,11 +377,11 @@
 
 fn housekeep(running: &Running, writes: Option<&mpsc::SyncSender<Write>>, (keep, keep_bytes): (u64, u64)) {
     let mut planner = running.planner.borrow_mut();
-    for (front, step) in planner.moved(running.now()) {
+    for (front, step) in planner.changed_steps(running.now()) {
         log::info!(front = front.as_str(), step:?; "fleet: step");
     }
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
-    let gone: Vec<Key> = planner.book.prune(wall.saturating_sub(keep), keep_bytes);
+    let gone: Vec<Key> = planner.report_log.prune(wall.saturating_sub(keep), keep_bytes);
     let Some(writes) = writes else { return };
     let fresh = running.fresh.take();
     if fresh.is_empty() && gone.is_empty() {
@@ -434,12 +438,12 @@
     let mut line = None;
     loop {
         let begun = Instant::now();
-        let body = encode(&running.planner.borrow().pull());
+        let body = encode(&running.planner.borrow().pull_request());
         let asked = exchange(&mut line, address, ("POST", "/fleet/pull"), &body);
         match within(PULL_WITHIN, asked).await {
-            Some(Ok(bytes)) => match decode::<Pushed>(&bytes) {
+            Some(Ok(bytes)) => match decode::<PullResponse>(&bytes) {
                 Ok(pushed) if pushed.planner == other => {
-                    let fresh = running.planner.borrow_mut().pushed(running.now(), pushed);
+                    let fresh = running.planner.borrow_mut().apply_pull_response(running.now(), pushed);
                     fresh.into_iter().for_each(|(f, i, r)| running.keep(&f, i, r));
                 }
                 Ok(pushed) => log::error!("fleet: {other} answers as {}", pushed.planner),
--- a/crates/yarrowspoke-lab/src/fleet/cost.rs
+++ b/crates/yarrowspoke-lab/src/fleet/cost.rs
@@ -9,11 +9,11 @@
 use std::fmt::Write;
 use std::io;
 use std::time::{Duration, Instant};
-use yarrowspoke_fleet::book::Book;
 use yarrowspoke_fleet::front::FrontSide;
 use yarrowspoke_fleet::planner::Planner;
+use yarrowspoke_fleet::report_log::ReportLog;
 use yarrowspoke_fleet::settings::{Fleet, Member, Role};
-use yarrowspoke_fleet::version::{List, Source, Version};
+use yarrowspoke_fleet::version::{List, ListSource, Version};
 use yarrowspoke_fleet::wire::encode;
 
 /// How long each half is measured.
@@ -114,12 +114,12 @@
     let mut members: Vec<Member> = (0..3).map(|n| member(n, Role::Planner, "")).collect();
     members.extend((0..fronts).map(|n| member(n, Role::Front, ["a", "b", "c"][n % 3])));
     let fleet = Fleet { members, ..Fleet::default() };
-    let list = List { index: 0, source: Source::Held, epoch: 0, digest: 0 };
-    let version = Version { list, news: None, config: 1, operator: 2, settings: 3, program: 4 };
+    let list = List { index: 0, source: ListSource::Cached, epoch: 0, digest: 0 };
+    let version = Version { list, rollout: None, config: 1, operator: 2, settings: 3, program: 4 };
     let mut all: Vec<FrontSide> =
         (0..fronts).map(|n| FrontSide::new(fleet.clone(), &format!("f{n}"), 1 + n as u64, version)).collect();
     let mut planners: Vec<Planner> =
-        (0..3).map(|n| Planner::new(fleet.clone(), &format!("p{n}"), 1, 0, Book::default())).collect();
+        (0..3).map(|n| Planner::new(fleet.clone(), &format!("p{n}"), 1, 0, ReportLog::default())).collect();
     let (mut came, mut went, mut heartbeats, mut spent) = (0u64, 0u64, 0u64, Duration::ZERO);
     let (renew, second) = (fleet.renew, 1_000_000);
     for step in 1..=60 * second / renew {
@@ -127,25 +127,26 @@
         for (n, front) in all.iter_mut().enumerate() {
             if step % (second / renew) == 1 {
                 let ready = (0..50u32).filter(|m| u64::from(*m) != step % 50).map(|m| (m, 1)).collect();
-                front.listed((now, now), (step, step), Source::Discovery, ready);
+                front.list_received((now, now), (step, step), ListSource::Discovery, ready);
             }
-            (0..4u32).for_each(|k| front.recorder().attempt((n as u32 * 7 + k * 13 + step as u32) % 50, 1));
+            (0..4u32)
+                .for_each(|k| front.recorder().record_attempt((n as u32 * 7 + k * 13 + step as u32) % 50, 1));
             front.tick(now, now);
             for (p, planner) in planners.iter_mut().enumerate() {
                 let heartbeat = front.heartbeat(p, now);
                 let bytes = encode(&heartbeat).len() as u64;
                 let begun = Instant::now();
-                let Ok(answer) = planner.take(now, heartbeat) else { continue };
+                let Ok(answer) = planner.handle_heartbeat(now, heartbeat) else { continue };
                 if p == 0 {
                     spent += begun.elapsed();
                     (came, went, heartbeats) =
                         (came + bytes, went + encode(&answer).len() as u64, heartbeats + 1);
                 }
-                front.answered(p, now, now, answer);
+                front.heartbeat_answered(p, now, now, answer);
             }
         }
     }
-    let held = planners[0].book.bytes();
+    let held = planners[0].report_log.bytes();
     let heartbeat_us = spent.as_secs_f64() * 1e6 / heartbeats.max(1) as f64;
     Size { fronts, in_per_s: came / 60, out_per_s: went / 60, held, heartbeat_us }
 }
--- a/crates/yarrowspoke-lab/src/scale/pure/agreed.rs
+++ b/crates/yarrowspoke-lab/src/scale/pure/agreed.rs
@@ -6,7 +6,7 @@
 use crate::scale::target;
 use std::io;
 use std::path::Path;
-use yarrowspoke_fleet::agreed::{Entry, Order};
+use yarrowspoke_fleet::permits::{Entry, Order};
 use yarrowspoke_front::agree::{Agree, Logged};
 
 /// Planners that agree.
@@ -21,7 +21,7 @@
         let order = |order| Entry::Order {
             order,
             by: "operator at the desk".to_owned(),
-            knows: Some(n as u64),
+            known_orders: Some(n as u64),
             ticket: 1_786_000_000_000_000 + n as u64,
         };
         match n % 4 {
