--- a/crates/yarrowspoke-lab/src/scale/pure/links.rs
+++ b/crates/yarrowspoke-lab/src/scale/pure/links.rs
@@ -9,14 +9,14 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use yarrowspoke::interface::{ListKind, MachineState};
-use yarrowspoke_fleet::book::Book;
 use yarrowspoke_fleet::front::FrontSide;
 use yarrowspoke_fleet::planner::Planner;
+use yarrowspoke_fleet::report_log::ReportLog;
 use yarrowspoke_fleet::settings::{Fleet, Lists, Member, Paced, Role, Spans};
 use yarrowspoke_fleet::span::{Recorder, Stance};
-use yarrowspoke_fleet::version::{digest, List, News, Source, Version};
+use yarrowspoke_fleet::version::{digest, List, ListSource, RolloutStatus, Version};
 use yarrowspoke_fleet::wire::{
-    decode, decode_listing, encode, encode_listing, Answer, Heartbeat, Pull, Pushed,
+    decode, decode_with_list, encode, encode_with_list, Heartbeat, HeartbeatResponse, Pull, PullResponse,
 };
 use yarrowspoke_front::input::Row;
 use yarrowspoke_front::net::http::Encoder;
@@ -56,10 +56,10 @@
 }
 
 fn version() -> Version {
-    let list = List { index: 0, source: Source::Held, epoch: 0, digest: 0 };
-    let news = Some(News { build: 7, stage: 3, phase: 1, cap: 1_000_000 });
+    let list = List { index: 0, source: ListSource::Cached, epoch: 0, digest: 0 };
+    let rollout = Some(RolloutStatus { build: 7, stage: 3, phase: 1, cap: 1_000_000 });
     let [config, operator, settings, program] = [&b"c"[..], b"o", b"s", b"p"].map(digest);
-    Version { list, news, config, operator, settings, program }
+    Version { list, rollout, config, operator, settings, program }
 }
 
 /// What was counted.
@@ -122,7 +122,7 @@
         let names: Vec<String> = fleet.members.iter().map(|m| m.name.clone()).collect();
         let (planner_names, front_names) = names.split_at(planners);
         let side = |n: &String| FrontSide::new(fleet.clone(), n, WALL, version());
-        let planner = |n: &String| Planner::new(fleet.clone(), n, WALL, DAY, Book::default());
+        let planner = |n: &String| Planner::new(fleet.clone(), n, WALL, DAY, ReportLog::default());
         let machines: Vec<u32> =
             (0..machines).map(|n| machine_id(&format!("s{}-m{n}", n % target::SERVICES))).collect();
         let mut world = Self {
@@ -162,7 +162,7 @@
         let told: Vec<_> = self.fronts.iter().map(|_| ready.clone()).collect();
         timed(|| {
             for (front, ready) in self.fronts.iter_mut().zip(told) {
-                front.listed(at, list, Source::Discovery, ready);
+                front.list_received(at, list, ListSource::Discovery, ready);
             }
         })
         .0
@@ -197,10 +197,10 @@
                 // Neighbours share machines, as subsets of fronts do.
                 let at = n * 13 + self.drawn(self.near);
                 let machine = self.machines[at % self.machines.len()];
-                self.fronts[n].recorder().attempt(machine, 7);
-                self.fronts[n].recorder().taken();
+                self.fronts[n].recorder().record_attempt(machine, 7);
+                self.fronts[n].recorder().record_admitted();
             }
-            self.fronts[n].confirmed(self.now);
+            self.fronts[n].list_confirmed(self.now);
         }
     }
 
@@ -212,25 +212,25 @@
             let fronts = self.fronts.iter_mut().enumerate();
             fronts
                 .filter_map(|(n, front)| {
-                    let due = !at_pace || front.due(p, now) <= now;
-                    due.then(|| (n, encode_listing(&mut front.heartbeat(p, now))))
+                    let due = !at_pace || front.next_heartbeat_at(p, now) <= now;
+                    due.then(|| (n, encode_with_list(&mut front.heartbeat(p, now))))
                 })
                 .collect()
         });
         counted.fronts_s += took;
         let answer = |(_, body): &(usize, Vec<u8>)| {
-            let ask = decode_listing::<Heartbeat>(body).ok()?;
-            Some(encode_listing(&mut planner.take(now, ask).ok()?))
+            let ask = decode_with_list::<Heartbeat>(body).ok()?;
+            Some(encode_with_list(&mut planner.handle_heartbeat(now, ask).ok()?))
         };
         let (took, answers) = timed(|| -> Vec<Option<Vec<u8>>> { asks.iter().map(answer).collect() });
         counted.planners_s += took;
         let from = spent();
         for ((n, _), answer) in asks.iter().zip(&answers) {
-            match answer.as_ref().and_then(|a| decode_listing::<Answer>(a).ok()) {
+            match answer.as_ref().and_then(|a| decode_with_list::<HeartbeatResponse>(a).ok()) {
                 Some(answer) => {
-                    self.fronts[*n].answered(p, now, now, answer);
+                    self.fronts[*n].heartbeat_answered(p, now, now, answer);
                 }
-                None => self.fronts[*n].failed(p, now),
+                None => self.fronts[*n].heartbeat_failed(p, now),
             }
         }
         counted.fronts_s += spent() - from;
@@ -240,7 +240,7 @@
             counted.asked += came;
             counted.answered += went;
             counted.heads += came + went - (ask.len() + answer.len()) as u64;
-            if let Some(list) = decode_listing::<Heartbeat>(ask).ok().and_then(|a| a.ready) {
+            if let Some(list) = decode_with_list::<Heartbeat>(ask).ok().and_then(|a| a.ready) {
                 counted.lists += encode(&list).len() as u64;
             }
         }
@@ -253,9 +253,9 @@
         for p in 0..self.planners.len() {
             for other in (0..self.planners.len()).filter(|o| *o != p) {
                 let (took, bytes) = timed(|| -> Option<usize> {
-                    let pull = encode(&self.planners[p].pull());
-                    let pushed = encode(&self.planners[other].push(now, &decode(&pull).ok()?).ok()?);
-                    self.planners[p].pushed(now, decode::<Pushed>(&pushed).ok()?);
+                    let pull = encode(&self.planners[p].pull_request());
+                    let pushed = encode(&self.planners[other].answer_pull(now, &decode(&pull).ok()?).ok()?);
+                    self.planners[p].apply_pull_response(now, decode::<PullResponse>(&pushed).ok()?);
                     Some(pull.len() + pushed.len())
                 });
                 self.counted.exchanges += 1;
@@ -304,17 +304,17 @@
 }
 
 /// A record of so many spans of each of so many fronts, as a planner keeps it.
-pub fn kept(fronts: usize, spans: usize) -> Book {
-    let mut book = Book::default();
+pub fn kept(fronts: usize, spans: usize) -> ReportLog {
+    let mut book = ReportLog::default();
     for n in 0..fronts {
         let mut recorder = Recorder::new(0, version(), spans.max(2));
         for span in 1..=spans as u64 {
             for at in 0..NEAR / 2 {
-                recorder.attempt(machine_id(&format!("m{}", n * 13 + at)), 7);
+                recorder.record_attempt(machine_id(&format!("m{}", n * 13 + at)), 7);
             }
             recorder.close(span * 200_000, WALL + span * 200_000, version(), Stance::Open);
         }
-        for report in recorder.behind(0, spans) {
+        for report in recorder.reports_after(0, spans) {
             let _ = book.insert(&format!("front-{n}"), WALL, report);
         }
     }
@@ -342,21 +342,21 @@
         let mut world = World::new((*fronts, target::PLANNERS), 600, load, (options.seed, options.paced));
         (0..steps).for_each(|_| world.step());
         let (c, each) = (world.counted, size * world.seconds());
-        let held = world.planners[0].book.bytes() as f64;
+        let held = world.planners[0].report_log.bytes() as f64;
         let minute = 60.0 / (world.seconds() + WARM as f64 * world.renew as f64 / 1e6);
         let now = world.now;
         let planner = &mut world.planners[0];
-        let moved = median((0..5).map(|_| 1e6 * timed(|| planner.moved(now)).0).collect());
-        let pull = 1e6 * timed(|| encode(&planner.pull())).0;
-        let asked = Pull { planner: "planner-1".to_owned(), ..planner.pull() };
+        let moved = median((0..5).map(|_| 1e6 * timed(|| planner.changed_steps(now)).0).collect());
+        let pull = 1e6 * timed(|| encode(&planner.pull_request())).0;
+        let asked = Pull { planner: "planner-1".to_owned(), ..planner.pull_request() };
         let (gave, pushed) = timed(|| {
             let asked: Pull = decode(&encode(&asked)).ok()?;
-            planner.push(now, &asked).ok().map(|p| encode(&p))
+            planner.answer_pull(now, &asked).ok().map(|p| encode(&p))
         });
         let pushed = pushed.unwrap_or_default();
         let (took, ()) = timed(|| {
-            if let Ok(pushed) = decode::<Pushed>(&pushed) {
-                planner.pushed(now, pushed);
+            if let Ok(pushed) = decode::<PullResponse>(&pushed) {
+                planner.apply_pull_response(now, pushed);
             }
         });
         // Where planners have spans from each other, exchanges carry them: as they were, not one that lacks nothing.
@@ -522,7 +522,7 @@
         (0..10).for_each(|_| world.step());
         ask.push((*spans as f64, 1e6 * world.counted.planners_s / world.counted.asks as f64));
         let planner = &world.planners[0];
-        let took = (0..3).map(|_| 1e6 * timed(|| std::hint::black_box(planner.pull())).0);
+        let took = (0..3).map(|_| 1e6 * timed(|| std::hint::black_box(planner.pull_request())).0);
         exchange.push(((*spans * FRONTS) as f64, median(took.collect())));
     }
     for fronts in [50, 150, 300, target::FRONTS].map(|n| if options.small { n / 10 } else { n }) {
--- a/crates/yarrowspoke-lab/src/scale/record.rs
+++ b/crates/yarrowspoke-lab/src/scale/record.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::{SystemTime, UNIX_EPOCH};
 use yarrowspoke_fleet::span::{link, Report, Span, Stance};
-use yarrowspoke_fleet::version::{List, Source, Version};
+use yarrowspoke_fleet::version::{List, ListSource, Version};
 use yarrowspoke_store::reports::Reports;
 
 /// Reports written in one go.
@@ -31,8 +31,8 @@
 /// All planners are given the same lives, as they would have brought each other what one lacks.
 pub fn fill(dir: &Path, life: u64, fronts: usize, reports: usize) -> io::Result<()> {
     let each = reports.div_ceil(fronts.max(1)) as u64;
-    let list = List { index: 1, source: Source::Discovery, epoch: 0, digest: 1 };
-    let version = Version { list, news: None, config: 1, operator: 2, settings: 3, program: 4 };
+    let list = List { index: 1, source: ListSource::Discovery, epoch: 0, digest: 1 };
+    let version = Version { list, rollout: None, config: 1, operator: 2, settings: 3, program: 4 };
     let kept = Reports::open(dir).map_err(io::Error::other)?;
     let (mut batch, mut left) = (Vec::with_capacity(BATCH), reports);
     for front in 0..fronts {
@@ -43,12 +43,12 @@
                 to: number * SPAN,
                 wall: life + number * SPAN,
                 version,
-                until: None,
+                last_version: None,
                 stance: Stance::Open,
                 attempts: (0..ATTEMPTED).map(|m| (m * 977 + front as u32, 41, 1)).collect(),
                 votes: 0,
-                taken: ATTEMPTED,
-                given_up: 0,
+                admitted: ATTEMPTED,
+                failed_requests: 0,
             };
             let after = link(&before, number, &span);
             let report = Report { first: number, last: number, before, link: after, span };
--- a/crates/yarrowspoke-operator/src/fleet.rs
+++ b/crates/yarrowspoke-operator/src/fleet.rs
@@ -2,7 +2,7 @@
 
 use crate::read::Form;
 use crate::Fault;
-use yarrowspoke_fleet::settings::{Alone, Fleet, Lists, Member, Most, Paced, Role, Spans};
+use yarrowspoke_fleet::settings::{Alone, Fleet, Limit, Lists, Member, Paced, Role, Spans};
 
 /// The section, and what is right in it and yet worth a word, with its place.
 #[derive(Clone, Debug, PartialEq)]
@@ -164,11 +164,11 @@
     pace.map(|pace| Paced { pace, lists, spans })
 }
 
-fn most(field: &Form, faults: &mut Vec<Fault>) -> Option<Most> {
+fn most(field: &Form, faults: &mut Vec<Fault>) -> Option<Limit> {
     let wanted = "a whole number, or a share from 0.0 to 1.0 with its decimal point";
     field.take(wanted, faults, |v| match v.as_u64() {
-        Some(n) => Some(Most::Number(n as usize)),
-        None => v.as_f64().filter(|s| (0.0..=1.0).contains(s)).map(Most::Share),
+        Some(n) => Some(Limit::Number(n as usize)),
+        None => v.as_f64().filter(|s| (0.0..=1.0).contains(s)).map(Limit::Share),
     })
 }
 
--- a/crates/yarrowspoke-operator/tests/fleet.rs
+++ b/crates/yarrowspoke-operator/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! The section `fleet`: what is read, and what is refused with its place.
 
-use yarrowspoke_fleet::settings::{Alone, Most, Role};
+use yarrowspoke_fleet::settings::{Alone, Limit, Role};
 use yarrowspoke_operator::parse;
 
 const RIGHT: &str = r#"(fleet
@@ -22,7 +22,7 @@
     assert!(fleet.warnings.is_empty());
     let fleet = fleet.fleet;
     assert_eq!((fleet.renew, fleet.lease, fleet.alone), (200_000, 1_500_000, Alone::Narrow));
-    assert_eq!((fleet.most_out, fleet.most_out_zone), (Most::Share(0.2), Most::Number(1)));
+    assert_eq!((fleet.most_out, fleet.most_out_zone), (Limit::Share(0.2), Limit::Number(1)));
     assert_eq!(
         (fleet.planners().count(), fleet.majority(), fleet.member("f1").unwrap().role),
         (3, 2, Role::Front)
@@ -32,9 +32,9 @@
 
 #[test]
 fn shares_are_rounded_down_but_one_of_more_than_one_may_be_out() {
-    let of = |most: Most| [0, 1, 2, 9, 10, 200].map(|n| most.of(n));
-    assert_eq!(of(Most::Share(0.1)), [0, 0, 1, 1, 1, 20]);
-    assert_eq!(of(Most::Number(3)), [0, 1, 2, 3, 3, 3]);
+    let of = |limit: Limit| [0, 1, 2, 9, 10, 200].map(|n| limit.resolve(n));
+    assert_eq!(of(Limit::Share(0.1)), [0, 0, 1, 1, 1, 20]);
+    assert_eq!(of(Limit::Number(3)), [0, 1, 2, 3, 3, 3]);
 }
 
 #[test]
