--- a/crates/yarrowspoke-front/src/planner.rs
+++ b/crates/yarrowspoke-front/src/planner.rs
@@ -143,8 +143,8 @@
         };
         match self.agree.borrow_mut().as_mut() {
             Some(agree) => {
-                let (by, knows, ticket) = (asked.by, asked.knows, asked.ticket);
-                agree.propose(Entry::Order { order, by, known_orders: knows, ticket });
+                let (by, known_orders, ticket) = (asked.by, asked.knows, asked.ticket);
+                agree.propose(Entry::Order { order, by, known_orders, ticket });
                 LinkAnswer::ok(b"proposed\n".to_vec())
             }
             None => LinkAnswer::refused(400, APART),
