--- a/crates/yarrowspoke-front/src/agreed_log.rs
+++ b/crates/yarrowspoke-front/src/agreed_log.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 use std::io;
 use std::path::Path;
-use yarrowspoke_fleet::agreed::{Agreed, Entry};
+use yarrowspoke_fleet::permits::{Entry, PermitState};
 use yarrowspoke_store::journal::Journal;
 
 /// Ticks between two rounds of election heartbeats.
@@ -201,7 +201,7 @@
 pub struct AgreedLog {
     paxos: OmniPaxos<LoggedEntry, JournaledLog>,
     /// State built from the entries that are decided, as far as this replica knows them.
-    pub state: Agreed,
+    pub state: PermitState,
     applied: usize,
     names: Vec<String>,
     name: String,
@@ -252,7 +252,7 @@
         let empty = BTreeMap::new;
         let mut agreed_log = Self {
             paxos,
-            state: Agreed::default(),
+            state: PermitState::default(),
             applied: 0,
             names,
             name: name.to_owned(),
--- a/crates/yarrowspoke-front/src/fleet_commands.rs
+++ b/crates/yarrowspoke-front/src/fleet_commands.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use yarrowspoke_fleet::audit::{audit as audit_log, Asked, Audit};
+use yarrowspoke_fleet::audit::{audit as audit_log, Audit, AuditQuery};
 use yarrowspoke_fleet::version::Version;
 
 /// How long a planner may take to answer an operator.
@@ -95,7 +95,7 @@
 }
 
 fn fetch_audit(source: &RecordSource, filter: &RecordFilter) -> Result<Audit, String> {
-    let filter = Asked {
+    let filter = AuditQuery {
         front: filter.front.clone(),
         index: filter.version,
         from: micros(filter.from)?,
@@ -138,7 +138,7 @@
             while let Some(first) = record.rows.get(at) {
                 let same = |r: &&yarrowspoke_fleet::audit::Row| {
                     (r.span.version, r.span.stance) == (first.span.version, first.span.stance)
-                        && r.span.until == first.span.until
+                        && r.span.last_version == first.span.last_version
                 };
                 let run: Vec<_> = record.rows[at..].iter().take_while(same).collect();
                 at += run.len();
