--- a/crates/yarrowspoke-front/tests/crossings.rs
+++ b/crates/yarrowspoke-front/tests/crossings.rs
@@ -319,7 +319,7 @@
     let cast = vote.line().unwrap();
     assert!(cast.starts_with("BALLOT 42 0 "), "{cast}");
     news.write("* progress 42 0 reverting 0.0 0\r\n");
-    program.logs("phase=GoingBack");
+    program.logs("phase=RollingBack");
     until("nothing goes to the build any more", || !ask(&program).contains(" 200 "));
     vote.write("OK 42 0 canary 1.0 900\r\n");
     // It is closed once its answer is read.
--- a/crates/yarrowspoke-lab/src/world.rs
+++ b/crates/yarrowspoke-lab/src/world.rs
@@ -362,7 +362,7 @@
                 }
                 Action::Log(line) => {
                     if self.out.logs.len() < LOGS
-                        || line.starts_with("Back") && self.out.logs.len() < 2 * LOGS
+                        || line.starts_with("RollBack") && self.out.logs.len() < 2 * LOGS
                     {
                         self.out.logs.push(format!("{:.2} {front}: {line}", self.now as f64 / 1e6));
                     }
--- a/crates/yarrowspoke-verdict/src/split.rs
+++ b/crates/yarrowspoke-verdict/src/split.rs
@@ -16,7 +16,7 @@
 /// requests. An e-value that holds for any share of failures at any time holds given all of that too, so that the
 /// fronts that cross are no more than independent ones would be, and the chance of at least `votes` is the
 /// binomial's. Danger: figures that come from the machines themselves, such as their paces, are shared: those need
-/// [`of_fronts`].
+/// [`front_rate`].
 pub fn independent_front_rate(rate: f64, fronts: u32, votes: u32) -> f64 {
     let (fronts, votes) = (u64::from(fronts.max(1)), u64::from(votes.max(1)));
     let crossed = |each: f64| Binomial::new(each, fronts).map_or(1.0, |b| b.sf(votes.min(fronts) - 1));
