--- a/crates/yarrowspoke-front/src/config.rs
+++ b/crates/yarrowspoke-front/src/config.rs
@@ -2,8 +2,8 @@
 
 use crate::check;
 use crate::input::Addresses;
-use crate::net::list::{self, Listing};
-use crate::net::platform::{self, State};
+use crate::net::list::{self, ListResponse};
+use crate::net::platform::{self, RolloutState};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -81,9 +81,9 @@
     /// Where the platform is.
     pub platform: Option<SocketAddr>,
     /// State of the newest build as last told.
-    pub rollout_status: Option<State>,
+    pub rollout_status: Option<RolloutState>,
     /// The list of machines as last held.
-    pub initial_list: Listing,
+    pub initial_list: ListResponse,
     /// The settings that the simulator would hand over.
     pub settings: Settings,
     /// Settings that are only watched: what they would have changed is counted.
@@ -114,7 +114,7 @@
 #[derive(Deserialize)]
 struct Rollouts {
     address: SocketAddr,
-    news: Option<platform::StateFields>,
+    news: Option<platform::RolloutStateConfig>,
 }
 
 impl Config {
@@ -150,14 +150,16 @@
         None => None,
     };
     let initial_list = match file.known {
-        None => Listing::default(),
+        None => ListResponse::default(),
         Some(raw) => {
             list::decode(raw.get().as_bytes(), &settings.names).map_err(|e| ConfigError::field("known", e))?
         }
     };
     let (platform, rollout_status) = file.rollouts.map_or((None, None), |r| (Some(r.address), r.news));
     let rollout_status = match rollout_status {
-        Some(fields) => Some(State::try_from(fields).map_err(|e| ConfigError::field("rollouts.news", e))?),
+        Some(fields) => {
+            Some(RolloutState::try_from(fields).map_err(|e| ConfigError::field("rollouts.news", e))?)
+        }
         None => None,
     };
     Ok(Config {
--- a/crates/yarrowspoke-front/src/driver.rs
+++ b/crates/yarrowspoke-front/src/driver.rs
@@ -4,7 +4,7 @@
 use crate::exchange::{Answer, Exchange};
 use crate::input::{Addresses, Input, ListMessage, Row};
 use crate::net::list::Discovery;
-use crate::net::machines::{load_values, Machines, Progress, Until};
+use crate::net::machines::{parse_load_report, AttemptDeadlines, Machines, Progress};
 use crate::net::peers::Peers;
 use crate::net::platform::{self, Ballot};
 use crate::shadow_settings::ShadowSettings;
@@ -68,7 +68,7 @@
 }
 
 /// Where the driver reaches everybody.
-pub struct Outside {
+pub struct RemoteServices {
     /// Runs the tasks.
     pub executor: Rc<LocalExecutor<'static>>,
     /// Machines.
@@ -99,7 +99,7 @@
     front: Front,
     settings: Settings,
     hub: Rc<EventBus>,
-    outside: Outside,
+    outside: RemoteServices,
     open: BTreeMap<RequestId, Open>,
     flights: BTreeMap<(RequestId, u16), Flight>,
     /// Danger: entries of ended requests would stay for as long as their clients said they would wait.
@@ -130,7 +130,7 @@
         known: (u64, Vec<Row>),
         news: Option<RolloutStatus>,
         hub: Rc<EventBus>,
-        outside: Outside,
+        outside: RemoteServices,
     ) -> Self {
         let (now, mut actions) = (hub.clock.now(), Vec::new());
         let front = Front::new(seed, settings.module.clone(), now, &mut actions);
@@ -158,12 +158,12 @@
         };
         driver.listen();
         actions.into_iter().for_each(|a| driver.act(now, a));
-        let source = driver.outside.discovery.source();
+        let source = driver.outside.discovery.discovery_id();
         driver.tell(Event::DiscoveryAddress { discovery_id: source, moved: false });
         driver.list(ListUpdate::Cached, known.0, known.1);
         driver.follow_up();
         if let Some(news) = news {
-            driver.take(Input::RolloutStatus(news));
+            driver.handle_input(Input::RolloutStatus(news));
         }
         driver.due(now + SWEEP, Due::Sweep);
         // Danger: where lists are pushed, what discovery has counts as told from the first moment, and what the
@@ -173,12 +173,12 @@
     }
 
     /// Counts from now on what these settings would have changed.
-    pub fn watch_for(&mut self, settings: yarrowspoke::interface::Settings) {
+    pub fn enable_shadow_settings(&mut self, settings: yarrowspoke::interface::Settings) {
         self.watched = Some(ShadowSettings::new(settings));
     }
 
     /// Requests that are not done with, and timers that are set.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn open_requests_and_timers(&self) -> (usize, usize) {
         (self.open.len(), self.timers.len())
     }
 
@@ -201,7 +201,7 @@
                 let more = (1..INPUTS_AT_ONCE).map_while(|_| inputs.try_recv().ok());
                 for input in std::iter::once(first).chain(more) {
                     self.notice_standstill();
-                    self.take(input);
+                    self.handle_input(input);
                 }
             }
             future::yield_now().await;
@@ -231,7 +231,8 @@
     fn report_held(&self) {
         let ((clients, lines), [fresh, kept]) =
             (self.hub.descriptors.in_use(), self.hub.idle_clients.each_ref().map(|c| c.get()));
-        let (idle, broken) = (self.outside.machines.idle(), self.outside.machines.take_broken());
+        let (idle, broken) =
+            (self.outside.machines.idle_count(), self.outside.machines.take_failure_counts());
         log::info!(
             "clients {clients} ({fresh} new, {kept} kept idle), requests {}, attempts out {}, \
              connections to machines {lines} ({idle} idle), attempts broken {broken:?}",
@@ -243,7 +244,7 @@
             "list: version {}, last confirmed {:?} ago; calls to discovery: {} opened, {} renewed, failed {:?}, \
              slowest opening {:?}; since the start {:?}",
             self.outside.discovery.index(),
-            self.outside.discovery.heard().map(|at| at.elapsed()),
+            self.outside.discovery.last_answered_at().map(|at| at.elapsed()),
             calls.opened,
             calls.renewed,
             calls.failed,
@@ -260,8 +261,10 @@
 
     /// At a limit, tells what holds the places.
     fn report(&self) {
-        let (((clients, held), (seats, lines)), idle) =
-            ((self.hub.descriptors.in_use(), self.hub.descriptors.limits()), self.outside.machines.idle());
+        let (((clients, held), (seats, lines)), idle) = (
+            (self.hub.descriptors.in_use(), self.hub.descriptors.limits()),
+            self.outside.machines.idle_count(),
+        );
         if clients < seats && held - idle < lines && !self.hub.descriptors.is_full() {
             return;
         }
@@ -306,13 +309,13 @@
     }
 
     /// Takes one input, and carries out what follows from it.
-    pub fn take(&mut self, input: Input) {
+    pub fn handle_input(&mut self, input: Input) {
         match input {
             Input::Arrived(exchange) => self.arrived(exchange),
             Input::ClientLeft(id) => self.left(id),
             Input::AttemptEnded(id, attempt, Ok(reply)) => {
                 let report = reply.load_report.as_deref().unwrap_or_default();
-                let load = load_values(report, &self.settings.names.load_fields);
+                let load = parse_load_report(report, &self.settings.names.load_fields);
                 if reply.outcome == CallOutcome::Ok {
                     if let Some(open) = self.open.get(&id) {
                         open.exchange.answer(Answer::Served(reply.body));
@@ -324,7 +327,7 @@
             Input::ListUpdated(news) if self.outside.discovery.is_current(news.watch) => {
                 self.leaving = None;
                 if !news.kind.is_failure() {
-                    self.outside.discovery.hold(news.index, news.needs_snapshot);
+                    self.outside.discovery.set_version(news.index, news.needs_snapshot);
                 }
                 self.list(news.kind, news.index, news.rows);
             }
@@ -332,7 +335,7 @@
             Input::ListConfirmed(watch, _) if !self.outside.discovery.is_current(watch) => {}
             Input::ListConfirmed(_, version) => {
                 self.leaving = None;
-                self.outside.discovery.hold(version, false);
+                self.outside.discovery.set_version(version, false);
                 self.tell(Event::List { kind: ListUpdate::Delta, version, entries: &[] });
             }
             Input::RolloutStatus(news) => self.told(news),
@@ -341,7 +344,8 @@
             Input::PeerMessage(from, bytes) => self.tell(Event::PeerMessage { from, bytes: &bytes }),
             Input::AddressesChanged(addresses) => self.moved(addresses),
             Input::ProbeEnded(machine, ending, took, load) => {
-                let load = load_values(load.as_deref().unwrap_or_default(), &self.settings.names.load_fields);
+                let load =
+                    parse_load_report(load.as_deref().unwrap_or_default(), &self.settings.names.load_fields);
                 self.tell(Event::ProbeEnded { machine, outcome: ending, duration: took, load_report: &load });
             }
             Input::ErrorRatesChanged(rates) => {
@@ -457,7 +461,7 @@
         }
         for row in rows {
             self.listed.insert(row.entry.machine, (row.entry.state, row.entry.build));
-            self.outside.machines.learn(row);
+            self.outside.machines.update(row);
         }
         log::debug!(kind:?, lines = rows.len(); "list");
         let entries: Vec<MachineEntry> = rows.iter().map(|r| r.entry.clone()).collect();
@@ -469,10 +473,11 @@
     }
 
     fn told(&mut self, news: RolloutStatus) {
-        let news = match self.heard.filter(|held| news.is_vote_reply && platform::is_behind(&news, held)) {
-            Some(held) => RolloutStatus { is_vote_reply: true, ..held },
-            None => news,
-        };
+        let news =
+            match self.heard.filter(|held| news.is_vote_reply && platform::is_outdated_reply(&news, held)) {
+                Some(held) => RolloutStatus { is_vote_reply: true, ..held },
+                None => news,
+            };
         if news.outcome == CallOutcome::Ok {
             self.heard = Some(news);
         }
@@ -591,11 +596,11 @@
             Action::Timer { name, after } => {
                 self.due(now + after, Due::Module(name));
             }
-            Action::Vote { build, stage, vote: verdict } => self.vote(Ballot { build, stage, verdict }),
+            Action::Vote { build, stage, vote } => self.vote(Ballot { build, stage, vote }),
             Action::CloseIdle { machine } => self.outside.machines.close_idle(machine),
             Action::SendToPeer { peer, bytes } => {
                 if let Some(peers) = &self.outside.peers {
-                    peers.tell(peer, &bytes);
+                    peers.send(peer, &bytes);
                 }
             }
             Action::Log(text) => log::info!("module: {text}"),
@@ -626,14 +631,14 @@
     /// new, and what is told only at the new ones counts as told. A vote on its way ends where it began.
     fn moved(&mut self, to: Addresses) {
         if let Some(peers) = &self.outside.peers {
-            peers.moved(to.peers, to.peers_all);
+            peers.set_addresses(to.peers, to.peers_all);
         }
         let from = self.outside.discovery.address();
-        if self.outside.discovery.moved(to.discovery) {
+        if self.outside.discovery.set_address(to.discovery) {
             log::info!(from:%, to:% = to.discovery, watching = self.watch.is_some(), held = self.outside.discovery.index(); "discovery moved");
             // What the old one still says confirms nothing; the module has the new one called in its turn.
             self.watch(false);
-            let source = self.outside.discovery.source();
+            let source = self.outside.discovery.discovery_id();
             self.tell(Event::DiscoveryAddress { discovery_id: source, moved: true });
             if self.fetch.as_ref().is_some_and(|f| !f.is_finished()) {
                 self.fetch();
@@ -685,14 +690,14 @@
         }
         if log::log_enabled!(log::Level::Debug) {
             let discovery = &self.outside.discovery;
-            let age_ms = discovery.heard().map(|at| at.elapsed().as_millis() as u64);
+            let age_ms = discovery.last_answered_at().map(|at| at.elapsed().as_millis() as u64);
             let (version, basis) = (discovery.index(), self.front.lease_basis(now, machine));
             log::debug!(id, attempt, machine, build, version, age_ms:?, basis:?; "attempt sent");
         }
         open.out += 1;
         let wait = exchange.deadline - now;
         let wait = if timeout > 0 { wait.min(timeout) } else { wait };
-        let until = Until { expires: now + wait, write_by: write_by.map(|by| by.min(now + wait)) };
+        let until = AttemptDeadlines { expires: now + wait, write_by: write_by.map(|by| by.min(now + wait)) };
         let expires = self.due(until.expires, Due::Attempt(id, attempt));
         let progress = Rc::new(Cell::new(Progress::Connecting));
         if let Some(member) = &self.hub.member {
@@ -708,7 +713,7 @@
                 Ok(Ok(reply)) => Ok(reply),
                 Ok(Err(e)) => {
                     log::debug!("attempt {id}/{attempt}: {e}");
-                    Err(e.ending())
+                    Err(e.outcome())
                 }
                 Err(_) if told.get() == Progress::Written => Err(CallOutcome::Reset),
                 Err(_) => Err(CallOutcome::ConnectFailed),
--- a/crates/yarrowspoke-front/src/explain.rs
+++ b/crates/yarrowspoke-front/src/explain.rs
@@ -4,8 +4,8 @@
 use crate::cli::CommandOutput;
 use crate::config;
 use crate::input::ClassProtocol;
-use crate::net::asked::{Asked, AskedHead};
 use crate::net::http::{Decoder, BODY_LIMIT};
+use crate::net::request_head::{ClientRequest, RequestHead};
 use std::fmt::Write;
 use std::path::Path;
 use yarrowspoke_expr::set::Scratch;
@@ -44,9 +44,9 @@
     };
     let classifier = Classifier::new(0);
     classifier.load(Some(rules));
-    let mut decoder = Decoder::<AskedHead>::with(BODY_LIMIT, std::rc::Rc::clone(&classifier));
+    let mut decoder = Decoder::<RequestHead>::with_context(BODY_LIMIT, std::rc::Rc::clone(&classifier));
     decoder.feed(&bytes);
-    let (mut head, body) = match decoder.message() {
+    let (mut head, body) = match decoder.next_message() {
         Ok(Some(message)) => message,
         Ok(None) => {
             return Err(format!("{shown}: a request cut short, expected a whole one: head, empty line, body"))
@@ -55,10 +55,12 @@
     };
     let Some((loaded, headers)) = head.take_rules() else { return Err("no rules are in force".to_owned()) };
     let set = &loaded.set;
-    let call = match head.asked(body, &names, &facts, &classifier, 0) {
-        Asked::Call(call) => call,
-        Asked::Ready => return Err(format!("{shown}: the front answers /up itself")),
-        Asked::Nothing(status) => return Err(format!("{shown}: answered with {status} before any rule")),
+    let call = match head.into_request(body, &names, &facts, &classifier, 0) {
+        ClientRequest::Call(call) => call,
+        ClientRequest::ReadinessCheck => return Err(format!("{shown}: the front answers /up itself")),
+        ClientRequest::Invalid(status) => {
+            return Err(format!("{shown}: answered with {status} before any rule"))
+        }
     };
     let request = as_request(&call, &headers, &names);
     if let Err(long) = request.fits(set.bounds()) {
--- a/crates/yarrowspoke-front/src/fleet_commands.rs
+++ b/crates/yarrowspoke-front/src/fleet_commands.rs
@@ -1,8 +1,8 @@
 //! `yarrowspoke fleet`: queries a planner or its directory about a fleet, and sends orders to a planner.
 
 use crate::cli::{CommandOutput, OrderArgs, RecordFilter, RecordSource};
-use crate::net::fleet::exchange;
-use crate::net::within;
+use crate::net::fleet::send_message;
+use crate::net::with_timeout;
 use crate::planner;
 use std::collections::BTreeSet;
 use std::fmt::Write;
@@ -24,7 +24,7 @@
 
 fn get(address: SocketAddr, target: &str) -> Result<Vec<u8>, String> {
     let (mut connection, named) = (None, |e: &dyn ToString| format!("{address}: {}", e.to_string()));
-    let call = within(ANSWER_TIMEOUT, exchange(&mut connection, address, ("GET", target), b""));
+    let call = with_timeout(ANSWER_TIMEOUT, send_message(&mut connection, address, ("GET", target), b""));
     match async_io::block_on(call) {
         Some(Ok(body)) => Ok(body),
         Some(Err(e)) => Err(named(&e)),
@@ -189,7 +189,8 @@
 
 fn post_order(address: SocketAddr, body: &[u8]) -> Result<(), String> {
     let mut connection = None;
-    let call = within(ANSWER_TIMEOUT, exchange(&mut connection, address, ("POST", "/fleet/order"), body));
+    let call =
+        with_timeout(ANSWER_TIMEOUT, send_message(&mut connection, address, ("POST", "/fleet/order"), body));
     match async_io::block_on(call) {
         Some(Ok(_)) => Ok(()),
         Some(Err(e)) => Err(format!("{address}: {e}")),
--- a/crates/yarrowspoke-front/src/fleet_member.rs
+++ b/crates/yarrowspoke-front/src/fleet_member.rs
@@ -4,9 +4,9 @@
 //! that falls. So the module needs no word of the fleet, and nothing here can give a request more than the module would.
 
 use crate::input::{Input, Row};
-use crate::net::fleet::{exchange, LinkError};
+use crate::net::fleet::{send_message, LinkError};
 use crate::net::list::Discovery;
-use crate::net::within;
+use crate::net::with_timeout;
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -283,7 +283,7 @@
     fn tick(&self) {
         let (now, wall) = self.clocks();
         let mut side = self.side.borrow_mut();
-        if let Some(heard) = self.discovery.heard() {
+        if let Some(heard) = self.discovery.last_answered_at() {
             side.list_confirmed(heard.saturating_duration_since(self.begun).as_micros() as Micros);
         }
         side.tick(now, wall);
@@ -343,8 +343,8 @@
         let begun = Instant::now();
         let sent_at = member.now();
         let body = encode_with_list(&mut member.side.borrow_mut().heartbeat(n, sent_at));
-        let exchanged = exchange(&mut line, address, ("POST", "/fleet/report"), &body);
-        let answer = within((lease / 4).max(renew), exchanged).await;
+        let exchanged = send_message(&mut line, address, ("POST", "/fleet/report"), &body);
+        let answer = with_timeout((lease / 4).max(renew), exchanged).await;
         let heard = match answer {
             Some(Ok(bytes)) => decode_with_list::<HeartbeatResponse>(&bytes).map_err(|e| e.to_string()),
             Some(Err(LinkError::Status(status, why))) => Err(format!("refused with {status}: {why}")),
--- a/crates/yarrowspoke-front/src/ledger_writer.rs
+++ b/crates/yarrowspoke-front/src/ledger_writer.rs
@@ -5,7 +5,7 @@
 
 use crate::exchange::{Answer, Call};
 use crate::input::Row;
-use crate::net::within;
+use crate::net::with_timeout;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::sync::atomic::Ordering;
@@ -103,7 +103,7 @@
         let Some(on) = &self.on else { return LedgerDecision::InProgress };
         let (id, keep) = on.id(call);
         let done = match on.hand.give(Op::Begin { id, keep }) {
-            Ok(pending) => within(Duration::from_micros(on.settings.stuck), pending.done()).await,
+            Ok(pending) => with_timeout(Duration::from_micros(on.settings.stuck), pending.done()).await,
             Err(e) => Some(Err(e)),
         };
         match done {
@@ -148,7 +148,7 @@
         };
         let Ok(pending) = on.hand.give(Op::End { id, state, keep }) else { return };
         if answer.is_some() {
-            within(Duration::from_micros(on.settings.stuck), pending.done()).await;
+            with_timeout(Duration::from_micros(on.settings.stuck), pending.done()).await;
         }
     }
 
--- a/crates/yarrowspoke-front/src/main.rs
+++ b/crates/yarrowspoke-front/src/main.rs
@@ -66,7 +66,7 @@
 
 fn serve(operator: Option<PathBuf>) -> ExitCode {
     // Danger: a signal that comes before its handler stands ends the program, so they stand before all else.
-    let told = match run::Told::begin() {
+    let told = match run::SignalHandlers::install() {
         Ok(told) => told,
         Err(e) => {
             eprintln!("yarrowspoke: signals cannot be handled: {e}");
@@ -77,8 +77,10 @@
         eprintln!("yarrowspoke: logging cannot start: {e}");
         return ExitCode::FAILURE;
     }
-    let files =
-        run::Files { config: PathBuf::from(std::env::var_os("PROXY_CONFIG").unwrap_or_default()), operator };
+    let files = run::ConfigFiles {
+        config: PathBuf::from(std::env::var_os("PROXY_CONFIG").unwrap_or_default()),
+        operator,
+    };
     let ended = match files.read(None) {
         Ok(setup) => run::run(setup, files, told).map_err(|e| e.to_string()),
         Err(e) => Err(e.to_string()),
--- a/crates/yarrowspoke-front/src/net/clients.rs
+++ b/crates/yarrowspoke-front/src/net/clients.rs
@@ -1,8 +1,8 @@
 //! Clients: accepting, reading requests, writing final answers.
 
-use super::asked::{Asked, AskedHead};
 use super::http::{Decoder, Encoder, BODY_LIMIT};
-use super::{read_some, within};
+use super::request_head::{ClientRequest, RequestHead};
+use super::{read_some, with_timeout};
 use crate::descriptor_budget::{BodyReservation, CountGuard};
 use crate::event_bus::EventBus;
 use crate::exchange::{Answer, Exchange};
@@ -54,7 +54,7 @@
 const AGAIN_PACE: Duration = Duration::from_millis(10);
 
 /// Where clients come in.
-pub struct Door {
+pub struct ClientListener {
     listener: Async<TcpListener>,
     hub: Rc<EventBus>,
     executor: Rc<LocalExecutor<'static>>,
@@ -62,7 +62,7 @@
     paused: Cell<Option<Micros>>,
 }
 
-impl Door {
+impl ClientListener {
     /// Clients come in by `listener`.
     pub fn new(
         listener: Async<TcpListener>,
@@ -78,7 +78,7 @@
             // At the limit accepting pauses until a place is given back; it does not spin.
             if !self.hub.descriptors.can_accept_client() {
                 self.pause();
-                within(PAUSE_LOOK, self.hub.descriptors.wait_for_release()).await;
+                with_timeout(PAUSE_LOOK, self.hub.descriptors.wait_for_release()).await;
                 continue;
             }
             let next = match future::poll_once(self.listener.accept()).await {
@@ -99,7 +99,7 @@
     }
 
     /// Accepts all who wait, as far as there is room; true if anybody did, or may still.
-    pub fn let_in(&self) -> bool {
+    pub fn accept_waiting(&self) -> bool {
         let mut any = false;
         while self.hub.descriptors.can_accept_client() {
             match self.listener.get_ref().accept().and_then(|(stream, _)| Async::new(stream)) {
@@ -139,7 +139,7 @@
 /// may hold only so many: once idle ones are all of these, nobody connects any more, so waiting for the next to
 /// connect would be waiting for ever. And a client whose connection yielded connects anew, which asks for the next
 /// to yield: paced, this stays a small part of the connections and cannot feed itself.
-pub async fn make_room(hub: Rc<EventBus>) {
+pub async fn close_idle_when_low(hub: Rc<EventBus>) {
     loop {
         if hub.descriptors.is_running_low() {
             hub.descriptors.request_idle_close();
@@ -193,7 +193,7 @@
 
 struct Line {
     stream: Async<TcpStream>,
-    decoder: Decoder<AskedHead>,
+    decoder: Decoder<RequestHead>,
     /// Room taken in the store for bodies.
     room: Option<BodyReservation>,
 }
@@ -205,7 +205,7 @@
     }
 
     async fn write(&mut self, bytes: &[u8]) -> bool {
-        matches!(within(ANSWER_WITHIN, self.stream.write_all(bytes)).await, Some(Ok(())))
+        matches!(with_timeout(ANSWER_WITHIN, self.stream.write_all(bytes)).await, Some(Ok(())))
     }
 
     /// Ends the connection so that an answer given in the midst of a request still arrives. Danger: what is left
@@ -218,22 +218,22 @@
         let drained = async {
             let mut taken = 0;
             while taken < LINGER_FREE {
-                match within(LINGER, read_some(&mut self.stream, |_| ())).await {
+                match with_timeout(LINGER, read_some(&mut self.stream, |_| ())).await {
                     Some(Ok(n)) if n > 0 => taken += n,
                     _ => return,
                 }
             }
             let mut chunk = vec![0; LINGER_CHUNK];
-            while matches!(within(LINGER, self.stream.read(&mut chunk)).await, Some(Ok(n)) if n > 0) {
+            while matches!(with_timeout(LINGER, self.stream.read(&mut chunk)).await, Some(Ok(n)) if n > 0) {
                 Timer::after(LINGER_PACE).await;
             }
         };
-        within(LINGER_MOST, drained).await;
+        with_timeout(LINGER_MOST, drained).await;
     }
 }
 
 enum Next {
-    Message(Box<AskedHead>, Vec<u8>),
+    Message(Box<RequestHead>, Vec<u8>),
     Bad(u16),
     End,
 }
@@ -242,7 +242,7 @@
 /// unread. Danger: counted from its reading alone, such a request is answered after its client has gone.
 async fn converse(stream: Async<TcpStream>, hub: Rc<EventBus>, waited: Micros) {
     let _ = stream.get_ref().set_nodelay(true);
-    let decoder = Decoder::with(BODY_LIMIT, Rc::clone(&hub.classifier));
+    let decoder = Decoder::with_context(BODY_LIMIT, Rc::clone(&hub.classifier));
     let mut line = Line { stream, decoder, room: None };
     let mut served = 0u64;
     loop {
@@ -253,31 +253,34 @@
         };
         served += 1;
         let keeps = head.keep;
-        let asked = match head.asked(body, &hub.names, &hub.classes, &hub.classifier, hub.clock.now()) {
+        let asked = match head.into_request(body, &hub.names, &hub.classes, &hub.classifier, hub.clock.now())
+        {
             // Danger: one who sends on before the answer did not mean what was read, and what hides behind a
             // wrong length may be another's request.
-            Asked::Call(_) if line.decoder.has_more() => return refuse(line, &hub, 400).await,
+            ClientRequest::Call(_) if line.decoder.has_unread_message() => {
+                return refuse(line, &hub, 400).await
+            }
             asked => asked,
         };
         let written = match asked {
-            Asked::Ready => {
+            ClientRequest::ReadinessCheck => {
                 let ready = hub.ready.get()
                     && !hub.is_stopping()
                     && !hub.ledger_writer.is_down()
                     && hub.accepts_requests();
                 line.write(&plain(if ready { 200 } else { 503 }, keeps)).await && keeps
             }
-            Asked::Nothing(status) => {
+            ClientRequest::Invalid(status) => {
                 hub.count_malformed();
                 line.write(&plain(status, keeps)).await && keeps
             }
             // Shut out, or without ground to send anything on: answered at once, before anything is taken.
-            Asked::Call(_) if !hub.accepts_requests() => {
+            ClientRequest::Call(_) if !hub.accepts_requests() => {
                 line.room = None;
                 let back = hub.member.as_ref().map_or(0, |m| m.retry_after());
                 line.write(&encode(&Answer::Refused(back), keeps)).await && keeps
             }
-            Asked::Call(call) => {
+            ClientRequest::Call(call) => {
                 // Danger: two answers to one id are taken for each other, and an effect may happen twice.
                 let guarded = hub.ledger_writer.requires_record(&call);
                 let Some(_open) = hub.call_ids.open(&call.call_id, guarded) else {
@@ -342,7 +345,7 @@
     // A new connection owes its request from its beginning, a kept one from the request's first byte.
     let mut due = fresh.then(|| begun + REQUEST_WITHIN);
     loop {
-        match line.decoder.message() {
+        match line.decoder.next_message() {
             Ok(Some((head, body))) => return Next::Message(Box::new(head), body),
             Ok(None) => {}
             Err(e) => {
@@ -351,14 +354,14 @@
             }
         }
         let idle = line.decoder.is_idle();
-        let needed = line.decoder.expects();
+        let needed = line.decoder.expected_body_len();
         if needed > SMALL_BODY && line.room.is_none() {
             line.room = hub.body_memory.reserve(needed);
             if line.room.is_none() {
                 return Next::Bad(503);
             }
         }
-        if line.decoder.waits_to_continue(|h| h.continues)
+        if line.decoder.take_continue_request(|h| h.continues)
             && !line.write(b"HTTP/1.1 100 Continue\r\n\r\n").await
         {
             return Next::End;
@@ -395,7 +398,7 @@
             read
         } else {
             let left = due.map_or(REQUEST_WITHIN, |d| d.saturating_duration_since(Instant::now()));
-            match within(left, line.read()).await {
+            match with_timeout(left, line.read()).await {
                 Some(read) => Some(read),
                 None => return Next::Bad(408),
             }
@@ -421,8 +424,8 @@
     let left = async {
         loop {
             match line.read().await {
-                Ok(n) if n > 0 && line.decoder.has_more() => return Wait::MoreCame,
-                Ok(n) if n > 0 => line.decoder.skip_blank(),
+                Ok(n) if n > 0 && line.decoder.has_unread_message() => return Wait::MoreCame,
+                Ok(n) if n > 0 => line.decoder.skip_blank_lines(),
                 _ => return Wait::Left,
             }
         }
--- a/crates/yarrowspoke-front/src/net/fleet.rs
+++ b/crates/yarrowspoke-front/src/net/fleet.rs
@@ -1,8 +1,8 @@
 //! Links of the fleet: messages between fronts and planners as bodies of HTTP/1.1, by the reader and writer that are there.
 
 use super::http::{Decoder, Encoder, Framing, FromHead, HttpError, RawHead};
-use super::list::AnswerHead;
-use super::{read_some, within};
+use super::list::ResponseHead;
+use super::{read_some, with_timeout};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncWriteExt, FutureExt, StreamExt};
@@ -35,14 +35,14 @@
     Http(#[from] HttpError),
     /// The connection ended before the answer.
     #[error("connection ended without an answer")]
-    Ended,
+    Closed,
     /// It was refused.
     #[error("status {0}: {1}")]
     Status(u16, String),
 }
 
 /// Sends one message on a kept connection or a new one; the answer's body.
-pub async fn exchange(
+pub async fn send_message(
     line: &mut Option<Async<TcpStream>>,
     address: SocketAddr,
     (method, target): (&str, &str),
@@ -59,10 +59,10 @@
         .field("Content-Length", format_args!("{}", body.len()))
         .body(body);
     stream.write_all(&request).await?;
-    let mut decoder = Decoder::<AnswerHead>::new(ANSWER_LIMIT);
+    let mut decoder = Decoder::<ResponseHead>::new(ANSWER_LIMIT);
     loop {
         let n = read_some(&mut stream, |bytes| decoder.feed(bytes)).await?;
-        let message = if n == 0 { decoder.end()? } else { decoder.message()? };
+        let message = if n == 0 { decoder.finish()? } else { decoder.next_message()? };
         match message {
             Some((head, body)) => {
                 if n > 0 && head.keep && decoder.is_idle() {
@@ -75,7 +75,7 @@
                     }
                 };
             }
-            None if n == 0 => return Err(LinkError::Ended),
+            None if n == 0 => return Err(LinkError::Closed),
             None => {}
         }
     }
@@ -94,12 +94,12 @@
     type Context = ();
     const STRICT: bool = true;
 
-    fn unstated(&self) -> Option<Framing> {
+    fn default_framing(&self) -> Option<Framing> {
         Some(Framing::Length(0))
     }
 
     fn from_head(head: &RawHead, _: &()) -> Result<Self, HttpError> {
-        let [method, target, version] = head.start;
+        let [method, target, version] = head.start_line;
         if !matches!(version, "HTTP/1.1" | "HTTP/1.0") || !target.starts_with('/') {
             return Err(HttpError::StartLine);
         }
@@ -108,21 +108,21 @@
 }
 
 /// An answer of a planner.
-pub struct LinkAnswer {
+pub struct LinkResponse {
     /// The status.
     pub status: u16,
     /// The body.
     pub body: Vec<u8>,
 }
 
-impl LinkAnswer {
+impl LinkResponse {
     /// A body that is right.
     pub fn ok(body: Vec<u8>) -> Self {
         Self { status: 200, body }
     }
 
     /// Why it is refused.
-    pub fn refused(status: u16, why: impl ToString) -> Self {
+    pub fn error(status: u16, why: impl ToString) -> Self {
         Self { status, body: format!("{}\n", why.to_string()).into_bytes() }
     }
 
@@ -140,10 +140,10 @@
 }
 
 /// What a planner answers to a message.
-pub type Answering = Rc<dyn Fn(&LinkHead, &[u8]) -> LinkAnswer>;
+pub type LinkHandler = Rc<dyn Fn(&LinkHead, &[u8]) -> LinkResponse>;
 
 /// Serves the links of a planner for ever. A message that can't be read or is refused ends nothing but itself.
-pub async fn serve(listener: Async<TcpListener>, executor: Rc<LocalExecutor<'static>>, answer: Answering) {
+pub async fn serve(listener: Async<TcpListener>, executor: Rc<LocalExecutor<'static>>, answer: LinkHandler) {
     let held = Rc::new(Cell::new(0usize));
     let mut incoming = Box::pin(listener.incoming());
     loop {
@@ -177,29 +177,29 @@
 
 async fn converse(
     mut stream: Async<TcpStream>,
-    answer: &dyn Fn(&LinkHead, &[u8]) -> LinkAnswer,
+    answer: &dyn Fn(&LinkHead, &[u8]) -> LinkResponse,
 ) -> Result<(), LinkError> {
     stream.get_ref().set_nodelay(true)?;
     let mut decoder = Decoder::<LinkHead>::new(BODY_LIMIT);
     loop {
-        let (head, body) = match decoder.message() {
+        let (head, body) = match decoder.next_message() {
             Ok(Some(message)) => message,
             Ok(None) => {
                 let limit = if decoder.is_idle() { IDLE_WITHIN } else { MESSAGE_WITHIN };
-                let read = within(limit, read_some(&mut stream, |bytes| decoder.feed(bytes))).await;
+                let read = with_timeout(limit, read_some(&mut stream, |bytes| decoder.feed(bytes))).await;
                 match read {
                     Some(Ok(n)) if n > 0 => continue,
                     _ => return Ok(()),
                 }
             }
             Err(e) => {
-                let bytes = LinkAnswer::refused(e.status(), e).encode(false);
-                within(MESSAGE_WITHIN, stream.write_all(&bytes)).await.unwrap_or(Ok(()))?;
+                let bytes = LinkResponse::error(e.status(), e).encode(false);
+                with_timeout(MESSAGE_WITHIN, stream.write_all(&bytes)).await.unwrap_or(Ok(()))?;
                 return Ok(());
             }
         };
         let bytes = answer(&head, &body).encode(head.keep);
-        match within(MESSAGE_WITHIN, stream.write_all(&bytes)).await {
+        match with_timeout(MESSAGE_WITHIN, stream.write_all(&bytes)).await {
             Some(Ok(())) if head.keep => {}
             _ => return Ok(()),
         }
--- a/crates/yarrowspoke-front/src/net/http.rs
+++ b/crates/yarrowspoke-front/src/net/http.rs
@@ -25,10 +25,10 @@
     StartLine,
     /// A header field is malformed, or two contradict each other.
     #[error("header field cannot be read")]
-    Field,
+    HeaderField,
     /// A field that this message needs is missing or has no sense.
     #[error("{0} is missing or cannot be read")]
-    Needs(&'static str),
+    InvalidValue(&'static str),
     /// The head is over its limit.
     #[error("head too large")]
     HeadTooLarge,
@@ -40,7 +40,7 @@
     Framing,
     /// More interim messages than anybody needs.
     #[error("too many interim messages")]
-    Interims,
+    TooManyInterim,
     /// The connection ended inside the message.
     #[error("message cut short")]
     Truncated,
@@ -60,7 +60,7 @@
 /// A head taken apart, borrowed from the bytes that came.
 pub struct RawHead<'a> {
     /// The three parts of the first line; the last may hold spaces or be empty.
-    pub start: [&'a str; 3],
+    pub start_line: [&'a str; 3],
     fields: Vec<(&'a str, &'a str)>,
 }
 
@@ -71,16 +71,16 @@
     }
 
     /// The only field of this name. Danger: of two, each reader may believe another.
-    pub fn sole(&self, name: &'static str) -> Result<Option<&'a str>, HttpError> {
-        self.only(name).map_err(|_| HttpError::Needs(name))
+    pub fn unique_field(&self, name: &'static str) -> Result<Option<&'a str>, HttpError> {
+        self.unique_field_at_runtime(name).map_err(|_| HttpError::InvalidValue(name))
     }
 
     /// The same for a name that is known only while the program runs.
-    pub fn only(&self, name: &str) -> Result<Option<&'a str>, HttpError> {
+    pub fn unique_field_at_runtime(&self, name: &str) -> Result<Option<&'a str>, HttpError> {
         let mut named = self.fields.iter().filter(|f| f.0.eq_ignore_ascii_case(name));
         match (named.next(), named.next()) {
             (first, None) => Ok(first.map(|f| f.1)),
-            _ => Err(HttpError::Field),
+            _ => Err(HttpError::HeaderField),
         }
     }
 
@@ -100,7 +100,7 @@
 
     /// The stated framing of the body, if any is stated.
     fn framing(&self) -> Result<Option<Framing>, HttpError> {
-        let coded = self.sole("transfer-encoding").map_err(|_| HttpError::Framing)?;
+        let coded = self.unique_field("transfer-encoding").map_err(|_| HttpError::Framing)?;
         let mut lengths = self.fields.iter().filter(|f| f.0.eq_ignore_ascii_case("content-length"));
         let length = lengths.next().map(|f| f.1);
         // Danger: two readers that disagree on where a message ends take bytes of one for another.
@@ -140,13 +140,13 @@
     /// framing hangs on it.
     const STRICT: bool;
     /// How a body without stated framing ends; `None` if it must be stated.
-    fn unstated(&self) -> Option<Framing>;
+    fn default_framing(&self) -> Option<Framing>;
     /// Whether the message is only an interim one, to be skipped.
-    fn interim(&self) -> bool {
+    fn is_interim(&self) -> bool {
         false
     }
     /// Whether no body follows, whatever the fields say.
-    fn bodiless(&self) -> bool {
+    fn has_no_body(&self) -> bool {
         false
     }
 }
@@ -169,13 +169,13 @@
 impl<T: FromHead<Context = ()>> Decoder<T> {
     /// A decoder for bodies up to `body_limit`.
     pub fn new(body_limit: usize) -> Self {
-        Self::with(body_limit, ())
+        Self::with_context(body_limit, ())
     }
 }
 
 impl<T: FromHead> Decoder<T> {
     /// A decoder for bodies up to `body_limit`, whose heads are read by `context`.
-    pub fn with(body_limit: usize, context: T::Context) -> Self {
+    pub fn with_context(body_limit: usize, context: T::Context) -> Self {
         let (buffer, body) = (Vec::new(), Vec::new());
         let (begun, trailer, continued) = (None, false, false);
         let (searched, interims, between) = (0, 0, 0);
@@ -193,12 +193,12 @@
     }
 
     /// True if bytes of a further message are there.
-    pub fn has_more(&self) -> bool {
+    pub fn has_unread_message(&self) -> bool {
         !self.buffer.iter().all(|b| matches!(b, b'\r' | b'\n'))
     }
 
     /// Most bytes that the body of the message begun may still bring.
-    pub fn expects(&self) -> usize {
+    pub fn expected_body_len(&self) -> usize {
         match self.begun.as_ref().map(|b| b.1) {
             Some(Framing::Length(n)) => n,
             Some(_) => self.body_limit,
@@ -207,20 +207,20 @@
     }
 
     /// True if a head has come whose sender, by `asks`, waits for leave to send the body; asked once.
-    pub fn waits_to_continue(&mut self, asks: impl Fn(&T) -> bool) -> bool {
+    pub fn take_continue_request(&mut self, asks: impl Fn(&T) -> bool) -> bool {
         let waits = self.begun.as_ref().is_some_and(|b| asks(&b.0)) && self.buffer.is_empty();
         waits && !std::mem::replace(&mut self.continued, true)
     }
 
     /// Forgets empty lines between messages.
-    pub fn skip_blank(&mut self) {
-        if !self.has_more() {
+    pub fn skip_blank_lines(&mut self) {
+        if !self.has_unread_message() {
             self.consume(self.buffer.len());
         }
     }
 
     /// The next whole message, if it has come.
-    pub fn message(&mut self) -> Result<Option<(T, Vec<u8>)>, HttpError> {
+    pub fn next_message(&mut self) -> Result<Option<(T, Vec<u8>)>, HttpError> {
         loop {
             if self.begun.is_none() && !self.read_head()? {
                 return Ok(None);
@@ -241,20 +241,20 @@
                 return Ok(None);
             }
             let Some(message) = self.take() else { return Ok(None) };
-            if !message.0.interim() {
+            if !message.0.is_interim() {
                 self.interims = 0;
                 return Ok(Some(message));
             }
             // Danger: a sender of interim messages without end would hold its reader for ever.
             self.interims += 1;
             if self.interims > INTERIM_LIMIT {
-                return Err(HttpError::Interims);
+                return Err(HttpError::TooManyInterim);
             }
         }
     }
 
     /// The message that the connection's end completes, if there is one.
-    pub fn end(&mut self) -> Result<Option<(T, Vec<u8>)>, HttpError> {
+    pub fn finish(&mut self) -> Result<Option<(T, Vec<u8>)>, HttpError> {
         match &self.begun {
             Some((_, Framing::UntilClose)) => Ok(self.take()),
             None if self.buffer.is_empty() => Ok(None),
@@ -295,9 +295,9 @@
         let raw = split_head(&self.buffer[..end], T::STRICT)?;
         let head = T::from_head(&raw, &self.context)?;
         let framing = match raw.framing()? {
-            _ if head.bodiless() => Framing::Length(0),
+            _ if head.has_no_body() => Framing::Length(0),
             Some(framing) => framing,
-            None => head.unstated().ok_or(HttpError::Framing)?,
+            None => head.default_framing().ok_or(HttpError::Framing)?,
         };
         if matches!(framing, Framing::Length(n) if n > self.body_limit) {
             return Err(HttpError::BodyTooLarge);
@@ -378,14 +378,14 @@
     let first = line().and_then(|l| std::str::from_utf8(l).ok()).ok_or(HttpError::StartLine)?;
     let mut parts = first.splitn(3, ' ');
     let mut part = || parts.next().unwrap_or("");
-    let start = [part(), part(), part()];
+    let start_line = [part(), part(), part()];
     let mut fields = Vec::new();
     while let Some(line) = line() {
-        let colon = line.iter().position(|b| *b == b':').ok_or(HttpError::Field)?;
+        let colon = line.iter().position(|b| *b == b':').ok_or(HttpError::HeaderField)?;
         let (name, value) = (&line[..colon], &line[colon + 1..]);
         let token = |b: &u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(b);
         let name = std::str::from_utf8(name).ok().filter(|n| !n.is_empty() && n.as_bytes().iter().all(token));
-        let name = name.ok_or(HttpError::Field)?;
+        let name = name.ok_or(HttpError::HeaderField)?;
         if fields.len() == FIELD_LIMIT {
             return Err(HttpError::HeadTooLarge);
         }
@@ -395,10 +395,10 @@
             // Danger: a good answer must not be lost to a report that cannot be read, but where it ends must be
             // beyond doubt.
             _ if !strict && !FRAMING_FIELDS.iter().any(|f| name.eq_ignore_ascii_case(f)) => {}
-            _ => return Err(HttpError::Field),
+            _ => return Err(HttpError::HeaderField),
         }
     }
-    Ok(RawHead { start, fields })
+    Ok(RawHead { start_line, fields })
 }
 
 /// Fields that say where a message and its connection end.
--- a/crates/yarrowspoke-front/src/net/list.rs
+++ b/crates/yarrowspoke-front/src/net/list.rs
@@ -1,7 +1,7 @@
 //! Discovery: the list of machines, asked for once or watched.
 
 use super::http::{Decoder, Encoder, Framing, FromHead, HttpError, RawHead};
-use super::{read_some, within};
+use super::{read_some, with_timeout};
 use crate::input::{Input, ListMessage, Row, SubscriptionId};
 use async_channel::Sender;
 use async_io::Async;
@@ -44,15 +44,15 @@
 
 /// An answer of discovery.
 #[derive(Clone, Debug, Default)]
-pub struct Listing {
+pub struct ListResponse {
     /// Version.
     pub index: u64,
     /// The whole list, not just what changed.
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// Machines.
     pub rows: Vec<Row>,
     /// Lines that could not be read.
-    pub unread: usize,
+    pub unreadable: usize,
 }
 
 /// Why a call gave nothing.
@@ -63,19 +63,19 @@
     Io(#[from] std::io::Error),
     /// No answer in time.
     #[error("no answer in time")]
-    Late,
+    Timeout,
     /// The answer is no HTTP.
     #[error("answer: {0}")]
     Http(#[from] HttpError),
     /// The connection ended before the answer.
     #[error("connection ended without an answer")]
-    Ended,
+    Closed,
     /// The answer stopped in its midst.
     #[error("only a part of an answer")]
-    Part,
+    Truncated,
     /// Lines of the list cannot be read.
-    #[error("{} lines of the list cannot be read", .0.unread)]
-    Unread(Listing),
+    #[error("{} lines of the list cannot be read", .0.unreadable)]
+    UnreadableRows(ListResponse),
     /// Another status than 200.
     #[error("status {0}")]
     Status(u16),
@@ -89,17 +89,17 @@
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Io(_) => "connection",
-            Self::Late => "timeout",
-            Self::Ended => "closed",
+            Self::Timeout => "timeout",
+            Self::Closed => "closed",
             Self::Status(503) => "overloaded",
             Self::Status(_) => "status",
-            Self::Http(_) | Self::Part | Self::Unread(_) | Self::Json(_) => "spoilt",
+            Self::Http(_) | Self::Truncated | Self::UnreadableRows(_) | Self::Json(_) => "spoilt",
         }
     }
 
     /// The answer came and cannot be used; a call that failed before is not spoilt but refused.
-    fn is_spoilt(&self) -> bool {
-        matches!(self, Self::Http(_) | Self::Part | Self::Unread(_) | Self::Json(_))
+    fn is_unreadable(&self) -> bool {
+        matches!(self, Self::Http(_) | Self::Truncated | Self::UnreadableRows(_) | Self::Json(_))
     }
 }
 
@@ -138,7 +138,7 @@
 }
 
 /// Decodes a list from its text. A line that cannot be read is left out, so that it does not take the others with it.
-pub fn decode(json: &[u8], names: &Names) -> Result<Listing, serde_json::Error> {
+pub fn decode(json: &[u8], names: &Names) -> Result<ListResponse, serde_json::Error> {
     let wire: Wire = serde_json::from_slice(json)?;
     let all = wire.endpoints.len();
     let read = |raw: &&RawValue| {
@@ -148,7 +148,7 @@
     };
     let mut rows = Vec::with_capacity(all);
     rows.extend(wire.endpoints.iter().filter_map(read));
-    Ok(Listing { index: wire.index, whole: wire.snapshot, unread: all - rows.len(), rows })
+    Ok(ListResponse { index: wire.index, is_snapshot: wire.snapshot, unreadable: all - rows.len(), rows })
 }
 
 fn row(wire: &WireRow, names: &Names) -> Option<Row> {
@@ -196,27 +196,27 @@
 }
 
 /// The head of an answer.
-pub struct AnswerHead {
+pub struct ResponseHead {
     /// The status.
     pub status: u16,
     /// The connection stays.
     pub keep: bool,
 }
 
-impl FromHead for AnswerHead {
+impl FromHead for ResponseHead {
     type Context = ();
     const STRICT: bool = false;
 
-    fn unstated(&self) -> Option<Framing> {
+    fn default_framing(&self) -> Option<Framing> {
         (!self.keep).then_some(Framing::UntilClose)
     }
 
     fn from_head(head: &RawHead, _: &()) -> Result<Self, HttpError> {
-        let status = super::machines::status(head)?;
-        Ok(Self { status, keep: head.keeps_alive(head.start[0]) })
+        let status = super::machines::parse_status(head)?;
+        Ok(Self { status, keep: head.keeps_alive(head.start_line[0]) })
     }
 
-    fn interim(&self) -> bool {
+    fn is_interim(&self) -> bool {
         self.status < 200
     }
 }
@@ -272,7 +272,7 @@
         // A call that waits must end, and the next begin, well before the list counts as told unasked.
         let hold = match told_within {
             0 => LONGEST_HOLD,
-            within => super::span(within / 2).min(LONGEST_HOLD),
+            within => super::micros_to_duration(within / 2).min(LONGEST_HOLD),
         };
         Rc::new(Self {
             address: Cell::new(address),
@@ -299,7 +299,7 @@
     }
 
     /// When it last answered with what can be used.
-    pub fn heard(&self) -> Option<Instant> {
+    pub fn last_answered_at(&self) -> Option<Instant> {
         self.heard.get()
     }
 
@@ -309,12 +309,12 @@
     }
 
     /// Discovery is at `address` from now on; false if it was before.
-    pub fn moved(&self, address: SocketAddr) -> bool {
+    pub fn set_address(&self, address: SocketAddr) -> bool {
         self.address.replace(address) != address
     }
 
     /// Names the source that the list comes from towards other fronts.
-    pub fn source(&self) -> DiscoveryId {
+    pub fn discovery_id(&self) -> DiscoveryId {
         digest(&self.address.get().to_string())
     }
 
@@ -336,7 +336,7 @@
         self.note_call(true, begun, answer.as_ref().err());
         let news = match answer {
             Ok(list) => {
-                let Listing { index, rows, .. } = list;
+                let ListResponse { index, rows, .. } = list;
                 ListMessage { watch, kind: ListUpdate::Snapshot, index, needs_snapshot: false, rows }
             }
             Err(e) => self.failed(watch, &e),
@@ -363,14 +363,14 @@
             let begun = Instant::now();
             let asked = self.call(watch, &mut line, &target, limit);
             let answer = match hold.is_zero() {
-                true => within(OPENED_WITHIN, asked).await.unwrap_or(Err(ListError::Late)),
+                true => with_timeout(OPENED_WITHIN, asked).await.unwrap_or(Err(ListError::Timeout)),
                 false => asked.await,
             };
             self.note_call(hold.is_zero(), begun, answer.as_ref().err());
             let list = match answer {
                 Ok(list) => list,
                 _ if !self.is_current(watch) => return,
-                Err(ListError::Late) if !opens => {
+                Err(ListError::Timeout) if !opens => {
                     log::warn!("discovery: the watch has fallen silent; it is opened anew");
                     (line, opens) = (None, true);
                     continue;
@@ -384,13 +384,13 @@
                     return;
                 }
             };
-            let (index, went_back) = (list.index, !whole && !list.whole && list.index < from);
+            let (index, went_back) = (list.index, !whole && !list.is_snapshot && list.index < from);
             if went_back {
                 log::warn!("discovery: version {index} after {from}; the whole list is asked for");
             }
-            let input = match opens || list.whole || went_back || !list.rows.is_empty() {
+            let input = match opens || list.is_snapshot || went_back || !list.rows.is_empty() {
                 true => {
-                    let kind = if list.whole { ListUpdate::Snapshot } else { ListUpdate::Delta };
+                    let kind = if list.is_snapshot { ListUpdate::Snapshot } else { ListUpdate::Delta };
                     Input::ListUpdated(ListMessage {
                         watch,
                         kind,
@@ -413,7 +413,7 @@
 
     /// The front holds this version from now on. Danger: taken on before its lines are, a version whose watch is ended in
     /// between is never asked for again, and its changes are lost.
-    pub fn hold(&self, index: u64, needs_snapshot: bool) {
+    pub fn set_version(&self, index: u64, needs_snapshot: bool) {
         self.index.set(index);
         self.astray.set(needs_snapshot);
     }
@@ -445,18 +445,20 @@
         line: &mut Option<Async<TcpStream>>,
         target: &str,
         limit: Duration,
-    ) -> Result<Listing, ListError> {
+    ) -> Result<ListResponse, ListError> {
         let mut spoilt = 0;
         self.spoilt.set(false);
         loop {
             match self.call_once(watch, line, target, limit, PAUSE_WITHIN * (1 << spoilt)).await {
-                Err(e) if e.is_spoilt() && spoilt < SPOILT_LIMIT && self.is_current(watch) => {
+                Err(e) if e.is_unreadable() && spoilt < SPOILT_LIMIT && self.is_current(watch) => {
                     spoilt += 1;
                     self.spoilt.set(true);
                     log::warn!("discovery: {e}; asked again");
                 }
                 // Lines that stay unreadable must not take the others with them, nor remove what they name.
-                Err(ListError::Unread(list)) => return Ok(Listing { whole: false, ..list }),
+                Err(ListError::UnreadableRows(list)) => {
+                    return Ok(ListResponse { is_snapshot: false, ..list })
+                }
                 ended => {
                     if ended.is_ok() && self.is_current(watch) {
                         self.heard.set(Some(Instant::now()));
@@ -469,7 +471,7 @@
 
     /// What the module is told of a call that failed.
     fn failed(&self, watch: SubscriptionId, why: &ListError) -> ListMessage {
-        let garbled = why.is_spoilt() || self.spoilt.get();
+        let garbled = why.is_unreadable() || self.spoilt.get();
         let kind = if garbled { ListUpdate::Unreadable } else { ListUpdate::Failed };
         ListMessage { watch, kind, index: 0, needs_snapshot: false, rows: Vec::new() }
     }
@@ -481,25 +483,25 @@
         target: &str,
         limit: Duration,
         pause: Duration,
-    ) -> Result<Listing, ListError> {
+    ) -> Result<ListResponse, ListError> {
         let asked = async {
             self.went_on.set(line.is_some());
             if let Some(kept) = line.take() {
                 // A kept connection may have been closed meanwhile; asking again is harmless.
                 match self.ask(kept, target, pause).await {
-                    Err(ListError::Io(_) | ListError::Ended) => {}
+                    Err(ListError::Io(_) | ListError::Closed) => {}
                     other => return other,
                 }
             }
             if !self.is_current(watch) {
-                return Err(ListError::Ended);
+                return Err(ListError::Closed);
             }
             self.went_on.set(false);
             let connecting = Async::<TcpStream>::connect(self.address.get());
-            let stream = within(CONNECT_WITHIN, connecting).await.ok_or(ListError::Late)??;
+            let stream = with_timeout(CONNECT_WITHIN, connecting).await.ok_or(ListError::Timeout)??;
             self.ask(stream, target, pause).await
         };
-        let (list, kept) = within(limit, asked).await.ok_or(ListError::Late)??;
+        let (list, kept) = with_timeout(limit, asked).await.ok_or(ListError::Timeout)??;
         *line = kept;
         Ok(list)
     }
@@ -509,34 +511,34 @@
         mut stream: Async<TcpStream>,
         target: &str,
         pause: Duration,
-    ) -> Result<(Listing, Option<Async<TcpStream>>), ListError> {
+    ) -> Result<(ListResponse, Option<Async<TcpStream>>), ListError> {
         stream.get_ref().set_nodelay(true)?;
         let request = Encoder::new(format_args!("GET {target} HTTP/1.1"))
             .field("Host", format_args!("{}", self.address.get()))
             .body(&[]);
         stream.write_all(&request).await?;
-        let mut decoder = Decoder::<AnswerHead>::new(LIST_LIMIT);
+        let mut decoder = Decoder::<ResponseHead>::new(LIST_LIMIT);
         loop {
             let begun = !decoder.is_idle();
             let reading = read_some(&mut stream, |bytes| decoder.feed(bytes));
             let n = match begun {
-                true => within(pause, reading).await.ok_or(ListError::Part)??,
+                true => with_timeout(pause, reading).await.ok_or(ListError::Truncated)??,
                 false => reading.await?,
             };
-            let message = if n == 0 { decoder.end()? } else { decoder.message()? };
+            let message = if n == 0 { decoder.finish()? } else { decoder.next_message()? };
             if let Some((head, body)) = message {
                 if head.status != 200 {
                     return Err(ListError::Status(head.status));
                 }
                 let keep = n > 0 && head.keep && decoder.is_idle();
                 let list = decode(&body, &self.names)?;
-                if list.unread > 0 {
-                    return Err(ListError::Unread(list));
+                if list.unreadable > 0 {
+                    return Err(ListError::UnreadableRows(list));
                 }
                 return Ok((list, keep.then_some(stream)));
             }
             if n == 0 {
-                return Err(ListError::Ended);
+                return Err(ListError::Closed);
             }
         }
     }
--- a/crates/yarrowspoke-front/src/net/machines.rs
+++ b/crates/yarrowspoke-front/src/net/machines.rs
@@ -3,7 +3,7 @@
 //! An attempt is dropped to give it up, which closes its connection. Nothing is ever resent here.
 
 use super::http::{Decoder, Encoder, Framing, FromHead, HttpError, RawHead, BODY_LIMIT};
-use super::{read_some, span, within};
+use super::{micros_to_duration, read_some, with_timeout};
 use crate::descriptor_budget::{Descriptor, DescriptorBudget};
 use crate::exchange::Exchange;
 use crate::input::{Clock, Reply, Row};
@@ -31,19 +31,19 @@
 
 /// What broke an attempt.
 #[derive(Debug, Error)]
-pub enum Cause {
+pub enum AttemptFailure {
     /// No more connections may be held.
     #[error("no descriptor left")]
-    NoRoom,
+    NoDescriptor,
     /// The machine has no address.
     #[error("no address")]
-    Unknown,
+    NoAddress,
     /// Not connected in time.
     #[error("not connected in time")]
-    Late,
+    ConnectTimeout,
     /// Not written before the moment from which it must not be.
     #[error("not written in time")]
-    Overdue,
+    WriteDeadline,
     /// The socket failed.
     #[error("socket: {0}")]
     Io(#[from] io::Error),
@@ -52,28 +52,28 @@
     Http(#[from] HttpError),
     /// The connection ended without an answer.
     #[error("ended without an answer")]
-    Ended,
+    Closed,
 }
 
-impl Cause {
+impl AttemptFailure {
     /// The sort of cause, for counts.
     fn sort(&self) -> &'static str {
         match self {
-            Self::NoRoom => "no descriptor left",
-            Self::Unknown => "no address",
-            Self::Late => "not connected in time",
-            Self::Overdue => "not written in time",
+            Self::NoDescriptor => "no descriptor left",
+            Self::NoAddress => "no address",
+            Self::ConnectTimeout => "not connected in time",
+            Self::WriteDeadline => "not written in time",
             Self::Io(e) if e.kind() == io::ErrorKind::ConnectionRefused => "refused",
             Self::Io(_) => "broken",
             Self::Http(_) => "spoilt answer",
-            Self::Ended => "ended without an answer",
+            Self::Closed => "ended without an answer",
         }
     }
 }
 
 /// Until when an attempt may go on, on the clock.
 #[derive(Clone, Copy, Debug)]
-pub struct Until {
+pub struct AttemptDeadlines {
     /// Nobody waits for its answer from then on.
     pub expires: Micros,
     /// It must not be written from then on, if that is sooner.
@@ -87,12 +87,12 @@
     /// How far it had come.
     pub progress: Progress,
     /// What broke it.
-    pub cause: Cause,
+    pub cause: AttemptFailure,
 }
 
 impl AttemptError {
     /// The outcome: before the last byte was written it has not run, afterwards nobody knows.
-    pub fn ending(&self) -> CallOutcome {
+    pub fn outcome(&self) -> CallOutcome {
         match self.progress {
             Progress::Connecting | Progress::Writing => CallOutcome::ConnectFailed,
             Progress::Written => CallOutcome::Reset,
@@ -108,8 +108,8 @@
 }
 
 /// The status of an answer's first line.
-pub fn status(head: &RawHead) -> Result<u16, HttpError> {
-    let [version, code, _] = head.start;
+pub fn parse_status(head: &RawHead) -> Result<u16, HttpError> {
+    let [version, code, _] = head.start_line;
     let digits = code.len() == 3 && code.bytes().all(|b| b.is_ascii_digit());
     if !version.starts_with("HTTP/1.") || !digits {
         return Err(HttpError::StartLine);
@@ -122,30 +122,30 @@
     const STRICT: bool = false;
 
     /// Danger: an answer cut off by a machine's death looks whole where only the connection's end marks its own.
-    fn unstated(&self) -> Option<Framing> {
+    fn default_framing(&self) -> Option<Framing> {
         (!self.keep).then_some(Framing::UntilClose)
     }
 
     fn from_head(head: &RawHead, _: &()) -> Result<Self, HttpError> {
         Ok(Self {
-            status: status(head)?,
+            status: parse_status(head)?,
             rejected: head.field("x-rejected") == Some("1"),
             load: head.field("x-load-report").map(str::to_owned),
-            keep: head.keeps_alive(head.start[0]),
+            keep: head.keeps_alive(head.start_line[0]),
         })
     }
 
-    fn interim(&self) -> bool {
+    fn is_interim(&self) -> bool {
         self.status < 200
     }
 
-    fn bodiless(&self) -> bool {
+    fn has_no_body(&self) -> bool {
         self.status < 200 || matches!(self.status, 204 | 304)
     }
 }
 
 impl ReplyHead {
-    fn ending(&self) -> CallOutcome {
+    fn outcome(&self) -> CallOutcome {
         match self.status {
             200 => CallOutcome::Ok,
             503 | 504 if self.rejected => CallOutcome::Rejected,
@@ -155,7 +155,7 @@
 }
 
 /// Reads a load report into the order of the settings' fields; empty unless all are there.
-pub fn load_values(report: &str, fields: &[String]) -> Vec<f32> {
+pub fn parse_load_report(report: &str, fields: &[String]) -> Vec<f32> {
     let value = |name: &String| {
         let mut pairs = report.split(',').filter_map(|p| p.split_once('='));
         let (_, value) = pairs.find(|(n, _)| n.trim() == name)?;
@@ -178,17 +178,17 @@
 
 impl Line {
     /// Reads the answer to what was written.
-    async fn answer(&mut self) -> Result<Heard, Cause> {
+    async fn answer(&mut self) -> Result<Heard, AttemptFailure> {
         let mut decoder = Decoder::<ReplyHead>::new(BODY_LIMIT);
         loop {
             let n = read_some(&mut self.stream, |bytes| decoder.feed(bytes)).await?;
-            let message = if n == 0 { decoder.end()? } else { decoder.message()? };
+            let message = if n == 0 { decoder.finish()? } else { decoder.next_message()? };
             if let Some((head, body)) = message {
                 let reusable = n > 0 && head.keep && decoder.is_idle();
                 return Ok(Heard { head, body, reusable });
             }
             if n == 0 {
-                return Err(Cause::Ended);
+                return Err(AttemptFailure::Closed);
             }
         }
     }
@@ -247,7 +247,7 @@
 
     /// Takes in a line of the list. Danger: an address may return with another machine or build behind it,
     /// so what was kept to the old one is closed.
-    pub fn learn(&self, row: &Row) {
+    pub fn update(&self, row: &Row) {
         let mut hosts = self.hosts.borrow_mut();
         let host = hosts.entry(row.entry.machine).or_default();
         let (build, started) = (row.entry.build, row.entry.started_at);
@@ -275,7 +275,7 @@
     }
 
     /// Connections that are idle.
-    pub fn idle(&self) -> usize {
+    pub fn idle_count(&self) -> usize {
         self.hosts.borrow().values().map(|h| h.idle.len()).sum()
     }
 
@@ -320,7 +320,7 @@
     }
 
     /// A place for a new connection; at the limit the connection that was idle longest makes room.
-    fn place(&self) -> Result<Descriptor, Cause> {
+    fn place(&self) -> Result<Descriptor, AttemptFailure> {
         if let Some(place) = self.places.take_for_machine() {
             return Ok(place);
         }
@@ -328,15 +328,17 @@
         let oldest = hosts.values_mut().filter(|h| !h.idle.is_empty());
         let oldest = oldest.min_by_key(|h| h.idle.front().map(|i| i.since));
         drop(oldest.and_then(|h| h.idle.pop_front()));
-        self.places.take_for_machine().ok_or(Cause::NoRoom)
+        self.places.take_for_machine().ok_or(AttemptFailure::NoDescriptor)
     }
 
-    async fn connect(&self, address: SocketAddr) -> Result<Line, Cause> {
+    async fn connect(&self, address: SocketAddr) -> Result<Line, AttemptFailure> {
         let place = self.place()?;
         let connecting = Async::<TcpStream>::connect(address);
         let stream = match self.transport.connect_timeout {
             0 => connecting.await?,
-            limit => within(span(limit), connecting).await.ok_or(Cause::Late)??,
+            limit => with_timeout(micros_to_duration(limit), connecting)
+                .await
+                .ok_or(AttemptFailure::ConnectTimeout)??,
         };
         stream.get_ref().set_nodelay(true)?;
         Ok(Line { stream, _place: place })
@@ -347,7 +349,7 @@
         &self,
         machine: MachineId,
         exchange: &Exchange,
-        until: Until,
+        until: AttemptDeadlines,
         progress: &Cell<Progress>,
         clock: &Clock,
     ) -> Result<Reply, AttemptError> {
@@ -374,15 +376,15 @@
             line.stream.write_all(&request).await?;
             Ok(line.answer().await?.head.load)
         };
-        match within(span(limit), asked).await {
+        match with_timeout(micros_to_duration(limit), asked).await {
             Some(Ok(load)) => (CallOutcome::Ok, load),
-            Some(Err(cause)) => (AttemptError { progress: progress.get(), cause }.ending(), None),
+            Some(Err(cause)) => (AttemptError { progress: progress.get(), cause }.outcome(), None),
             None => (CallOutcome::Timeout, None),
         }
     }
 
     /// What broke attempts since this was last asked, counted by sort.
-    pub fn take_broken(&self) -> BTreeMap<&'static str, usize> {
+    pub fn take_failure_counts(&self) -> BTreeMap<&'static str, usize> {
         self.broke.take()
     }
 
@@ -390,17 +392,17 @@
         &self,
         machine: MachineId,
         exchange: &Exchange,
-        until: Until,
+        until: AttemptDeadlines,
         progress: &Cell<Progress>,
         clock: &Clock,
-    ) -> Result<Reply, Cause> {
+    ) -> Result<Reply, AttemptFailure> {
         let (tenancy, address) = self.tenancy(machine)?;
         let written = self.write(machine, address, exchange, until, progress, clock);
         // Danger: a connection may come up, or take the bytes, only after the moment until which sending was allowed.
         let mut line = match until.write_by {
             Some(by) => {
-                let left = span(by.saturating_sub(clock.now()));
-                within(left, written).await.ok_or(Cause::Overdue)??
+                let left = micros_to_duration(by.saturating_sub(clock.now()));
+                with_timeout(left, written).await.ok_or(AttemptFailure::WriteDeadline)??
             }
             None => written.await?,
         };
@@ -409,7 +411,7 @@
         if reusable {
             self.keep(machine, tenancy, line, clock.now());
         }
-        Ok(Reply { outcome: head.ending(), load_report: head.load, body })
+        Ok(Reply { outcome: head.outcome(), load_report: head.load, body })
     }
 
     /// Writes the request to a connection, kept or new.
@@ -418,33 +420,33 @@
         machine: MachineId,
         address: SocketAddr,
         exchange: &Exchange,
-        until: Until,
+        until: AttemptDeadlines,
         progress: &Cell<Progress>,
         clock: &Clock,
-    ) -> Result<Line, Cause> {
+    ) -> Result<Line, AttemptFailure> {
         let begun = clock.now();
         let mut line = match self.kept(machine, begun) {
             Some(line) => line,
             None => {
                 let connected = self.connect(address).await;
                 let took = clock.now() - begun;
-                log::debug!(machine, took, failed = connected.as_ref().err().map(Cause::sort); "connected");
+                log::debug!(machine, took, failed = connected.as_ref().err().map(AttemptFailure::sort); "connected");
                 connected?
             }
         };
         let now = clock.now();
         // Looked at here too: a process that stood still finds the connection up and the time over in one turn.
         if now >= until.write_by.unwrap_or(until.expires) {
-            return Err(Cause::Overdue);
+            return Err(AttemptFailure::WriteDeadline);
         }
         progress.set(Progress::Writing);
         line.stream.write_all(&encode(exchange, address, until.expires - now)).await?;
         Ok(line)
     }
 
-    fn tenancy(&self, machine: MachineId) -> Result<(Tenancy, SocketAddr), Cause> {
+    fn tenancy(&self, machine: MachineId) -> Result<(Tenancy, SocketAddr), AttemptFailure> {
         let tenancy = self.hosts.borrow().get(&machine).map(|h| h.tenancy);
-        tenancy.and_then(|t| t.address.map(|a| (t, a))).ok_or(Cause::Unknown)
+        tenancy.and_then(|t| t.address.map(|a| (t, a))).ok_or(AttemptFailure::NoAddress)
     }
 }
 
--- a/crates/yarrowspoke-front/src/net/mod.rs
+++ b/crates/yarrowspoke-front/src/net/mod.rs
@@ -1,6 +1,5 @@
 //! Everything that is spoken on sockets, a module for each peer.
 
-pub mod asked;
 pub mod clients;
 pub mod fleet;
 pub mod http;
@@ -8,6 +7,7 @@
 pub mod machines;
 pub mod peers;
 pub mod platform;
+pub mod request_head;
 
 use async_io::Timer;
 use futures_lite::{future, AsyncRead};
@@ -38,7 +38,7 @@
 }
 
 /// What `work` gives, or `None` once `span` is over.
-pub async fn within<T>(span: Duration, work: impl Future<Output = T>) -> Option<T> {
+pub async fn with_timeout<T>(span: Duration, work: impl Future<Output = T>) -> Option<T> {
     let over = async {
         Timer::after(span).await;
         None
@@ -47,6 +47,6 @@
 }
 
 /// Microseconds as a span of the standard library.
-pub fn span(micros: u64) -> Duration {
+pub fn micros_to_duration(micros: u64) -> Duration {
     Duration::from_micros(micros)
 }
--- a/crates/yarrowspoke-front/src/net/peers.rs
+++ b/crates/yarrowspoke-front/src/net/peers.rs
@@ -29,13 +29,13 @@
     }
 
     /// From now on they are reached elsewhere.
-    pub fn moved(&self, each: Vec<SocketAddr>, all: Option<SocketAddr>) {
+    pub fn set_addresses(&self, each: Vec<SocketAddr>, all: Option<SocketAddr>) {
         self.each.replace(each);
         self.all.set(all);
     }
 
     /// Sends to one front or to all; what cannot be sent at once is lost, as datagrams may be.
-    pub fn tell(&self, peer: Option<u16>, bytes: &[u8]) {
+    pub fn send(&self, peer: Option<u16>, bytes: &[u8]) {
         let to = match peer {
             Some(n) => self.each.borrow().get(usize::from(n)).copied(),
             None => self.all.get(),
@@ -63,7 +63,7 @@
                 Ok(_) => log::debug!("peer message too long"),
                 Err(e) => {
                     log::debug!("peer socket: {e}");
-                    async_io::Timer::after(super::span(10_000)).await;
+                    async_io::Timer::after(super::micros_to_duration(10_000)).await;
                 }
             }
         }
--- a/crates/yarrowspoke-front/src/net/platform.rs
+++ b/crates/yarrowspoke-front/src/net/platform.rs
@@ -1,6 +1,6 @@
 //! The platform: votes and what it tells, in lines of words.
 
-use super::{read_some, span, within};
+use super::{micros_to_duration, read_some, with_timeout};
 use crate::input::Input;
 use async_channel::Sender;
 use async_io::{Async, Timer};
@@ -24,7 +24,7 @@
 
 /// State of the newest build, as the platform words it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct State {
+pub struct RolloutState {
     /// The newest build.
     pub build: Build,
     /// Its stage.
@@ -37,9 +37,9 @@
     pub age: Micros,
 }
 
-impl State {
+impl RolloutState {
     /// The module's event for it.
-    pub fn news(&self, answer: bool) -> RolloutStatus {
+    pub fn to_status(&self, answer: bool) -> RolloutStatus {
         let Self { build, stage, phase, cap, age } = *self;
         RolloutStatus { build, stage, phase, is_vote_reply: answer, outcome: CallOutcome::Ok, cap, age }
     }
@@ -47,7 +47,7 @@
 
 /// Whether the answer to a vote speaks of a state that the platform had left when it told `held`. Danger: answers
 /// and news come on two connections, in any order; taken for newer, such an answer would lift a lowered cap again.
-pub fn is_behind(answer: &RolloutStatus, held: &RolloutStatus) -> bool {
+pub fn is_outdated_reply(answer: &RolloutStatus, held: &RolloutStatus) -> bool {
     let course = |n: &RolloutStatus| match n.phase {
         Phase::Trial => (n.build, 0, n.stage),
         Phase::Released => (n.build, 1, 0),
@@ -61,7 +61,7 @@
 /// The same as the configuration holds it.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct StateFields {
+pub struct RolloutStateConfig {
     revision: Build,
     wave: u8,
     state: String,
@@ -69,10 +69,10 @@
     age_ms: f64,
 }
 
-impl TryFrom<StateFields> for State {
+impl TryFrom<RolloutStateConfig> for RolloutState {
     type Error = LineError;
 
-    fn try_from(f: StateFields) -> Result<Self, LineError> {
+    fn try_from(f: RolloutStateConfig) -> Result<Self, LineError> {
         let phase = phase(&f.state).ok_or(LineError::Value("State"))?;
         if !(0.0..=1.0).contains(&f.max_share) {
             return Err(LineError::Value("MaxShare"));
@@ -110,15 +110,15 @@
 
 /// A line that the platform wrote.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Line {
+pub enum PlatformLine {
     /// A sign of life.
-    Alive,
+    Heartbeat,
     /// Told unasked: the newest build's state.
-    Progress(State),
+    Progress(RolloutState),
     /// Told unasked: something this version does not know.
     Other,
     /// A call was carried out; a vote's answer holds the state.
-    Done(Option<State>),
+    Accepted(Option<RolloutState>),
     /// A call was not carried out.
     Refused(Refusal),
 }
@@ -138,16 +138,18 @@
 }
 
 /// Decodes one line, without its ending.
-pub fn decode(line: &[u8]) -> Result<Line, LineError> {
+pub fn decode(line: &[u8]) -> Result<PlatformLine, LineError> {
     let text = std::str::from_utf8(line).map_err(|_| LineError::Shape)?;
     let mut words = text.split(' ').filter(|w| !w.is_empty());
     match (words.next(), words.next()) {
-        (Some("*"), None) => Ok(Line::Alive),
-        (Some("*"), Some("progress")) => state(words).map(Line::Progress),
-        (Some("*"), Some("metrics" | "complaint")) => Ok(Line::Other),
-        (Some("OK"), None) => Ok(Line::Done(None)),
-        (Some("OK"), Some(first)) => state(std::iter::once(first).chain(words)).map(|s| Line::Done(Some(s))),
-        (Some("ERR"), Some(why)) => Ok(Line::Refused(match why {
+        (Some("*"), None) => Ok(PlatformLine::Heartbeat),
+        (Some("*"), Some("progress")) => state(words).map(PlatformLine::Progress),
+        (Some("*"), Some("metrics" | "complaint")) => Ok(PlatformLine::Other),
+        (Some("OK"), None) => Ok(PlatformLine::Accepted(None)),
+        (Some("OK"), Some(first)) => {
+            state(std::iter::once(first).chain(words)).map(|s| PlatformLine::Accepted(Some(s)))
+        }
+        (Some("ERR"), Some(why)) => Ok(PlatformLine::Refused(match why {
             "limit" => Refusal::Limit,
             "moot" => Refusal::Moot,
             "malformed" => Refusal::Malformed,
@@ -158,7 +160,7 @@
     }
 }
 
-fn state<'a>(mut words: impl Iterator<Item = &'a str>) -> Result<State, LineError> {
+fn state<'a>(mut words: impl Iterator<Item = &'a str>) -> Result<RolloutState, LineError> {
     let build = words.next().and_then(|w| w.parse().ok()).ok_or(LineError::Value("Revision"))?;
     let stage = words.next().and_then(|w| w.parse().ok()).ok_or(LineError::Value("Wave"))?;
     let phase = words.next().and_then(phase).ok_or(LineError::Value("State"))?;
@@ -167,7 +169,7 @@
     let age = words.next().and_then(|w| w.parse::<f64>().ok()).filter(|a| a.is_finite() && *a >= 0.0);
     let age = micros(age.ok_or(LineError::Value("AgeMs"))?);
     match words.next() {
-        None => Ok(State { build, stage, phase, cap, age }),
+        None => Ok(RolloutState { build, stage, phase, cap, age }),
         Some(_) => Err(LineError::Shape),
     }
 }
@@ -210,32 +212,32 @@
     /// The stage meant.
     pub stage: u8,
     /// The verdict.
-    pub verdict: Vote,
+    pub vote: Vote,
 }
 
 impl Ballot {
     /// The line that casts it.
     pub fn encode(&self) -> String {
-        let verdict = match self.verdict {
+        let word = match self.vote {
             Vote::Withdraw => "abstain",
             Vote::Advance => "promote",
             Vote::Hold => "pause",
             Vote::RollBack => "abort",
         };
-        format!("BALLOT {} {} {verdict}\r\n", self.build, self.stage)
+        format!("BALLOT {} {} {word}\r\n", self.build, self.stage)
     }
 }
 
 /// Casts a vote on a connection of its own and tells how that went; `limit` comes from the settings.
 pub async fn vote(address: SocketAddr, ballot: Ballot, limit: Micros, to: Sender<Input>) {
     let written = std::cell::Cell::new(false);
-    let answer = within(span(limit), cast(address, ballot, &written)).await;
+    let answer = with_timeout(micros_to_duration(limit), cast(address, ballot, &written)).await;
     let ending = match answer {
-        Some(Ok(Line::Done(Some(state)))) => {
-            let _ = to.send(Input::RolloutStatus(state.news(true))).await;
+        Some(Ok(PlatformLine::Accepted(Some(state)))) => {
+            let _ = to.send(Input::RolloutStatus(state.to_status(true))).await;
             return;
         }
-        Some(Ok(Line::Refused(why))) => match why {
+        Some(Ok(PlatformLine::Refused(why))) => match why {
             Refusal::Limit => CallOutcome::Rejected,
             Refusal::Moot => CallOutcome::NotSent,
             Refusal::Error | Refusal::Malformed => CallOutcome::Error,
@@ -251,7 +253,11 @@
     let _ = to.send(Input::RolloutStatus(news)).await;
 }
 
-async fn cast(address: SocketAddr, ballot: Ballot, written: &std::cell::Cell<bool>) -> std::io::Result<Line> {
+async fn cast(
+    address: SocketAddr,
+    ballot: Ballot,
+    written: &std::cell::Cell<bool>,
+) -> std::io::Result<PlatformLine> {
     let mut stream = Async::<TcpStream>::connect(address).await?;
     stream.get_ref().set_nodelay(true)?;
     stream.write_all(ballot.encode().as_bytes()).await?;
@@ -286,13 +292,13 @@
     told: &mut bool,
 ) -> std::io::Result<std::convert::Infallible> {
     let silent = || std::io::Error::from(std::io::ErrorKind::TimedOut);
-    let connected = within(CONNECT_WITHIN, Async::<TcpStream>::connect(address)).await;
+    let connected = with_timeout(CONNECT_WITHIN, Async::<TcpStream>::connect(address)).await;
     let mut stream = connected.ok_or_else(silent)??;
     stream.get_ref().set_nodelay(true)?;
     stream.write_all(b"NOTIFY\r\n").await?;
     let mut lines = LineDecoder::default();
     loop {
-        let read = within(SILENCE, read_some(&mut stream, |bytes| lines.feed(bytes))).await;
+        let read = with_timeout(SILENCE, read_some(&mut stream, |bytes| lines.feed(bytes))).await;
         if read.ok_or_else(silent)?? == 0 {
             return Err(std::io::ErrorKind::UnexpectedEof.into());
         }
@@ -300,12 +306,12 @@
             // Danger: behind a line that cannot be read nothing more comes, or nothing to be trusted: the
             // connection is spent, and the next one tells the state anew.
             match decode(&line).map_err(std::io::Error::other)? {
-                Line::Progress(state) => {
+                PlatformLine::Progress(state) => {
                     *told = true;
-                    let _ = to.send(Input::RolloutStatus(state.news(false))).await;
+                    let _ = to.send(Input::RolloutStatus(state.to_status(false))).await;
                 }
-                Line::Refused(why) => log::warn!("platform: refused: {why:?}"),
-                Line::Alive | Line::Other | Line::Done(_) => {}
+                PlatformLine::Refused(why) => log::warn!("platform: refused: {why:?}"),
+                PlatformLine::Heartbeat | PlatformLine::Other | PlatformLine::Accepted(_) => {}
             }
         }
     }
--- a/crates/yarrowspoke-front/src/net/asked.rs
+++ b/crates/yarrowspoke-front/src/net/request_head.rs
@@ -12,17 +12,17 @@
 const LONGEST_BUDGET: f64 = 3_600.0;
 
 /// What a client sent, decoded.
-pub enum Asked {
+pub enum ClientRequest {
     /// Whether the front is ready.
-    Ready,
+    ReadinessCheck,
     /// A call; its body is still to come.
     Call(Box<Call>),
     /// Something that has no answer here, with its status.
-    Nothing(u16),
+    Invalid(u16),
 }
 
 /// A request's head, decoded.
-pub struct AskedHead {
+pub struct RequestHead {
     method: String,
     target: String,
     /// The sender keeps the connection.
@@ -40,16 +40,16 @@
     rules: Option<(Rc<LoadedRules>, Vec<Option<String>>)>,
 }
 
-impl FromHead for AskedHead {
+impl FromHead for RequestHead {
     type Context = Rc<Classifier>;
     const STRICT: bool = true;
 
-    fn unstated(&self) -> Option<Framing> {
+    fn default_framing(&self) -> Option<Framing> {
         Some(Framing::Length(0))
     }
 
     fn from_head(head: &RawHead, classifier: &Rc<Classifier>) -> Result<Self, HttpError> {
-        let [method, target, version] = head.start;
+        let [method, target, version] = head.start_line;
         let known = matches!(version, "HTTP/1.1" | "HTTP/1.0");
         let plain = |b: u8| b.is_ascii_graphic();
         if !known || method.is_empty() || !method.bytes().all(|b| b.is_ascii_uppercase()) {
@@ -58,15 +58,15 @@
         if !target.starts_with('/') || !target.bytes().all(plain) {
             return Err(HttpError::StartLine);
         }
-        let call_id = head.sole("x-call-id")?;
+        let call_id = head.unique_field("x-call-id")?;
         if call_id.is_some_and(|id| id.is_empty() || id.len() > 128 || !id.bytes().all(plain)) {
-            return Err(HttpError::Needs("X-Call-Id"));
+            return Err(HttpError::InvalidValue("X-Call-Id"));
         }
-        let budget = head.sole("x-budget")?.map(budget).transpose()?;
+        let budget = head.unique_field("x-budget")?.map(budget).transpose()?;
         let owned = |name| head.field(name).map(str::to_owned);
         let rules = match classifier.loaded() {
             Some(rules) => {
-                let read = |name: &String| head.only(name).map(|v| v.map(str::to_owned));
+                let read = |name: &String| head.unique_field_at_runtime(name).map(|v| v.map(str::to_owned));
                 let headers = rules.set.headers().iter().map(read).collect::<Result<_, _>>()?;
                 Some((rules, headers))
             }
@@ -78,8 +78,8 @@
             keep: head.keeps_alive(version),
             continues: head.field("expect").is_some_and(|e| e.eq_ignore_ascii_case("100-continue")),
             call_id: call_id.map(str::to_owned),
-            idempotency_key: head.sole("idempotency-key")?.map(str::to_owned),
-            class: head.sole("x-call-class")?.map(str::to_owned),
+            idempotency_key: head.unique_field("idempotency-key")?.map(str::to_owned),
+            class: head.unique_field("x-call-class")?.map(str::to_owned),
             tenant: owned("x-caller"),
             budget,
             hint: head.field("x-call-cost").and_then(|v| v.parse().ok()),
@@ -91,11 +91,11 @@
 
 fn budget(text: &str) -> Result<Micros, HttpError> {
     let seconds = text.parse::<f64>().ok().filter(|s| s.is_finite() && *s >= 0.0);
-    let seconds = seconds.ok_or(HttpError::Needs("X-Budget"))?;
+    let seconds = seconds.ok_or(HttpError::InvalidValue("X-Budget"))?;
     Ok((seconds.min(LONGEST_BUDGET) * 1e6) as Micros)
 }
 
-impl AskedHead {
+impl RequestHead {
     /// The rules under which it came, with the headers that they read: whoever takes them rules it himself.
     pub fn take_rules(&mut self) -> Option<(Rc<LoadedRules>, Vec<Option<String>>)> {
         self.rules.take()
@@ -103,32 +103,38 @@
 
     /// Danger: what a machine can't use costs it work, and may run as something else than was meant. So a call
     /// whose parts contradict each other goes to none.
-    pub fn asked(
+    pub fn into_request(
         mut self,
         body: Vec<u8>,
         names: &Names,
         classes: &[ClassProtocol],
         classifier: &Classifier,
         now: Micros,
-    ) -> Asked {
+    ) -> ClientRequest {
         let rules = self.take_rules();
         let (path, query) = self.target.split_once('?').unwrap_or((&self.target, ""));
         if path == "/up" {
-            return if self.method == "GET" { Asked::Ready } else { Asked::Nothing(405) };
+            return if self.method == "GET" {
+                ClientRequest::ReadinessCheck
+            } else {
+                ClientRequest::Invalid(405)
+            };
         }
         let first = path[1..].split('/').next().unwrap_or("");
-        let Some(class) = names.classes.iter().position(|c| c == first) else { return Asked::Nothing(404) };
+        let Some(class) = names.classes.iter().position(|c| c == first) else {
+            return ClientRequest::Invalid(404);
+        };
         let facts = &classes[class];
         if self.class.is_some_and(|c| c != first) {
-            return Asked::Nothing(400);
+            return ClientRequest::Invalid(400);
         }
         if facts.method.is_some_and(|m| m != self.method) {
-            return Asked::Nothing(405);
+            return ClientRequest::Invalid(405);
         }
         if self.method == "GET" && !body.is_empty() {
-            return Asked::Nothing(400);
+            return ClientRequest::Invalid(400);
         }
-        let Some(call_id) = self.call_id else { return Asked::Nothing(400) };
+        let Some(call_id) = self.call_id else { return ClientRequest::Invalid(400) };
         let tenant = self.tenant.and_then(|t| names.tenants.iter().position(|n| *n == t));
         let key = query.split('&').find_map(|p| p.strip_prefix("key=")).map_or(0, key);
         let mut call = Call {
@@ -147,10 +153,10 @@
         };
         if let Some((rules, headers)) = rules {
             if let Err(status) = classifier.apply_rules(&rules, &mut call, &headers, names, now) {
-                return Asked::Nothing(status);
+                return ClientRequest::Invalid(status);
             }
         }
-        Asked::Call(Box::new(call))
+        ClientRequest::Call(Box::new(call))
     }
 }
 
--- a/crates/yarrowspoke-front/src/planner.rs
+++ b/crates/yarrowspoke-front/src/planner.rs
@@ -1,8 +1,8 @@
 //! A planner as a program: links, store and commands round `yarrowspoke_fleet::planner`.
 
 use crate::agreed_log::{AgreedLog, JoinError, MessageBatch};
-use crate::net::fleet::{exchange, serve, Answering, LinkAnswer, LinkHead};
-use crate::net::within;
+use crate::net::fleet::{send_message, serve, LinkHandler, LinkHead, LinkResponse};
+use crate::net::with_timeout;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
@@ -81,28 +81,28 @@
         }
     }
 
-    fn answer(&self, head: &LinkHead, body: &[u8]) -> LinkAnswer {
+    fn answer(&self, head: &LinkHead, body: &[u8]) -> LinkResponse {
         let (path, query) = head.target.split_once('?').unwrap_or((&head.target, ""));
         match (head.method.as_str(), path) {
             ("POST", "/fleet/report") => self.report(body),
             ("POST", "/fleet/pull") => match decode::<Pull>(body) {
                 Ok(pull) => match self.planner.borrow().answer_pull(self.now(), &pull) {
-                    Ok(pushed) => LinkAnswer::ok(encode(&pushed)),
-                    Err(e) => LinkAnswer::refused(400, e),
+                    Ok(pushed) => LinkResponse::ok(encode(&pushed)),
+                    Err(e) => LinkResponse::error(400, e),
                 },
                 Err(e) => self.refuse(e),
             },
             ("GET", "/fleet/status") => json(&self.planner.borrow().status(self.now())),
             ("GET", "/fleet/audit") => match asked(query) {
                 Ok(asked) => json(&audit(&self.planner.borrow().report_log, &asked)),
-                Err(why) => LinkAnswer::refused(400, why),
+                Err(why) => LinkResponse::error(400, why),
             },
             ("POST", "/fleet/agree") => match decode::<MessageBatch>(body) {
                 Ok(batch) => {
                     if let Some(agree) = self.agree.borrow_mut().as_mut() {
                         agree.receive(batch);
                     }
-                    LinkAnswer::ok(Vec::new())
+                    LinkResponse::ok(Vec::new())
                 }
                 Err(e) => self.refuse(e),
             },
@@ -111,10 +111,10 @@
                 Some(agree) => json(&serde_json::json!({
                     "state": agree.state, "leader": agree.leader(), "applied": agree.applied(),
                 })),
-                None => LinkAnswer::refused(400, APART),
+                None => LinkResponse::error(400, APART),
             },
-            ("GET", "/up") => LinkAnswer::ok(b"OK".to_vec()),
-            _ => LinkAnswer::refused(
+            ("GET", "/up") => LinkResponse::ok(b"OK".to_vec()),
+            _ => LinkResponse::error(
                 404,
                 "no such thing: /fleet/report, /fleet/pull, /fleet/status, /fleet/audit",
             ),
@@ -122,15 +122,15 @@
     }
 
     /// An order of an operator. It is agreed on once its ticket stands among the outcomes; whoever gives it asks until then.
-    fn order(&self, body: &[u8]) -> LinkAnswer {
+    fn order(&self, body: &[u8]) -> LinkResponse {
         let asked: Ordered = match serde_json::from_slice(body) {
             Ok(asked) => asked,
-            Err(e) => return LinkAnswer::refused(400, e),
+            Err(e) => return LinkResponse::error(400, e),
         };
         let order = match asked.what.as_str() {
             "out" => match self.planner.borrow().live_incarnation(&asked.front, self.now()) {
                 Some((incarnation, _)) => Order::Out { front: asked.front, incarnation, cause: asked.why },
-                None => return LinkAnswer::refused(400, format!("{:?} is not heard here", asked.front)),
+                None => return LinkResponse::error(400, format!("{:?} is not heard here", asked.front)),
             },
             "in" => Order::In { front: asked.front },
             "halt" => Order::Halt { why: asked.why },
@@ -138,16 +138,16 @@
             "free" => Order::Free { front: asked.front, number: asked.number },
             other => {
                 let why = format!("found {other:?}, expected out, in, halt, resume or free");
-                return LinkAnswer::refused(400, why);
+                return LinkResponse::error(400, why);
             }
         };
         match self.agree.borrow_mut().as_mut() {
             Some(agree) => {
                 let (by, known_orders, ticket) = (asked.by, asked.knows, asked.ticket);
                 agree.propose(Entry::Order { order, by, known_orders, ticket });
-                LinkAnswer::ok(b"proposed\n".to_vec())
+                LinkResponse::ok(b"proposed\n".to_vec())
             }
-            None => LinkAnswer::refused(400, APART),
+            None => LinkResponse::error(400, APART),
         }
     }
 
@@ -203,13 +203,13 @@
         }
     }
 
-    fn refuse(&self, why: yarrowspoke_fleet::wire::MessageError) -> LinkAnswer {
+    fn refuse(&self, why: yarrowspoke_fleet::wire::MessageError) -> LinkResponse {
         self.planner.borrow_mut().count_rejected(&why);
         log::warn!("fleet: a message is refused: {why}");
-        LinkAnswer::refused(400, why)
+        LinkResponse::error(400, why)
     }
 
-    fn report(&self, body: &[u8]) -> LinkAnswer {
+    fn report(&self, body: &[u8]) -> LinkResponse {
         let heartbeat = match decode_with_list::<Heartbeat>(body) {
             Ok(heartbeat) => heartbeat,
             Err(e) => return self.refuse(e),
@@ -219,11 +219,11 @@
         match self.planner.borrow_mut().handle_heartbeat(self.now(), heartbeat) {
             Ok(mut answer) => {
                 reports.into_iter().for_each(|r| self.keep(&front, incarnation, r));
-                LinkAnswer::ok(encode_with_list(&mut answer))
+                LinkResponse::ok(encode_with_list(&mut answer))
             }
             Err(why) => {
                 log::warn!(front = front.as_str(), why:%; "fleet: a heartbeat is refused");
-                LinkAnswer::refused(400, why)
+                LinkResponse::error(400, why)
             }
         }
     }
@@ -244,10 +244,10 @@
     ticket: u64,
 }
 
-fn json(value: &impl serde::Serialize) -> LinkAnswer {
+fn json(value: &impl serde::Serialize) -> LinkResponse {
     match serde_json::to_vec(value) {
-        Ok(body) => LinkAnswer::ok(body),
-        Err(e) => LinkAnswer::refused(500, e),
+        Ok(body) => LinkResponse::ok(body),
+        Err(e) => LinkResponse::error(500, e),
     }
 }
 
@@ -343,7 +343,7 @@
         keeps: writes.is_some(),
     });
     let handled = Rc::clone(&running);
-    let answer: Answering = Rc::new(move |head, body| handled.answer(head, body));
+    let answer: LinkHandler = Rc::new(move |head, body| handled.answer(head, body));
     executor.spawn(serve(listener, Rc::clone(&executor), answer)).detach();
     for (other, address) in others {
         executor.spawn(agree_with(Rc::clone(&running), other.clone(), address)).detach();
@@ -403,8 +403,8 @@
             continue;
         };
         let body = encode(&batch);
-        let asked = exchange(&mut line, address, ("POST", "/fleet/agree"), &body);
-        let went = within(AGREE_WITHIN, asked).await;
+        let asked = send_message(&mut line, address, ("POST", "/fleet/agree"), &body);
+        let went = with_timeout(AGREE_WITHIN, asked).await;
         if went.is_none() {
             line = None;
         }
@@ -439,8 +439,8 @@
     loop {
         let begun = Instant::now();
         let body = encode(&running.planner.borrow().pull_request());
-        let asked = exchange(&mut line, address, ("POST", "/fleet/pull"), &body);
-        match within(PULL_WITHIN, asked).await {
+        let asked = send_message(&mut line, address, ("POST", "/fleet/pull"), &body);
+        match with_timeout(PULL_WITHIN, asked).await {
             Some(Ok(bytes)) => match decode::<PullResponse>(&bytes) {
                 Ok(pushed) if pushed.planner == other => {
                     let fresh = running.planner.borrow_mut().apply_pull_response(running.now(), pushed);
--- a/crates/yarrowspoke-front/src/run.rs
+++ b/crates/yarrowspoke-front/src/run.rs
@@ -3,12 +3,12 @@
 use crate::classify::{self, Classifier};
 use crate::config::{self, Config, ConfigError};
 use crate::descriptor_budget::DescriptorBudget;
-use crate::driver::{Driver, Outside};
+use crate::driver::{Driver, RemoteServices};
 use crate::event_bus::EventBus;
 use crate::fleet_member::{self, Member};
 use crate::input::{Input, Row};
 use crate::ledger_writer::{self, LedgerWriter};
-use crate::net::clients::{self, Door};
+use crate::net::clients::{self, ClientListener};
 use crate::net::list::Discovery;
 use crate::net::machines::Machines;
 use crate::net::peers::Peers;
@@ -43,7 +43,7 @@
 
 /// The files that a front is told to run by, read at its start and again whenever it is told to.
 #[derive(Clone, Debug)]
-pub struct Files {
+pub struct ConfigFiles {
     /// The configuration.
     pub config: PathBuf,
     /// The operator's file, if there is one.
@@ -52,7 +52,7 @@
 
 /// Why a front cannot run by its files.
 #[derive(Debug, Error)]
-pub enum FilesError {
+pub enum ConfigFilesError {
     /// The configuration.
     #[error(transparent)]
     Config(#[from] ConfigError),
@@ -69,20 +69,20 @@
     },
 }
 
-fn check_member(fleet: &Fleet, name: &str, path: &std::path::Path) -> Result<(), FilesError> {
+fn check_member(fleet: &Fleet, name: &str, path: &std::path::Path) -> Result<(), ConfigFilesError> {
     let front = fleet.member(name).is_some_and(|m| m.role == Role::Front);
     let (path, name) = (path.display().to_string(), name.to_owned());
     if front {
         Ok(())
     } else {
-        Err(FilesError::Member { path, name })
+        Err(ConfigFilesError::Member { path, name })
     }
 }
 
-impl Files {
+impl ConfigFiles {
     /// Reads both as one whole: a fault of either leaves nothing half told. Rules are bound to the settings that
     /// `running` goes by, or to those just read.
-    pub fn read(&self, running: Option<&Settings>) -> Result<Setup, FilesError> {
+    pub fn read(&self, running: Option<&Settings>) -> Result<Setup, ConfigFilesError> {
         let mut config = config::load(&self.config)?;
         let (mut rules, mut store, mut fleet) = (None, None, None);
         if let Some(path) = &self.operator {
@@ -145,32 +145,32 @@
 
 /// What a front is told by signals: those that come before it serves wait until it does.
 #[derive(Debug)]
-pub struct Told {
+pub struct SignalHandlers {
     stop: Signals,
     reload: Signals,
 }
 
-impl Told {
+impl SignalHandlers {
     /// Handles signals from now on.
-    pub fn begin() -> io::Result<Self> {
+    pub fn install() -> io::Result<Self> {
         Ok(Self { stop: Signals::new([Signal::Term, Signal::Int])?, reload: Signals::new([Signal::Hup])? })
     }
 }
 
 /// Runs a front to its end; `files` are read again when it is told to.
-pub fn run(setup: Setup, files: Files, told: Told) -> io::Result<()> {
+pub fn run(setup: Setup, files: ConfigFiles, told: SignalHandlers) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(serve(setup, files, told, Rc::clone(&executor))))
 }
 
 async fn serve(
     setup: Setup,
-    files: Files,
-    told: Told,
+    files: ConfigFiles,
+    told: SignalHandlers,
     executor: Rc<LocalExecutor<'static>>,
 ) -> io::Result<()> {
     let Setup { config, rules, store, fleet } = setup;
-    let Told { stop: mut signals, reload: reloads } = told;
+    let SignalHandlers { stop: mut signals, reload: reloads } = told;
     let listener = Async::<TcpListener>::bind(config.listen)?;
     let places = DescriptorBudget::new(config.limits.sockets.saturating_sub(RESERVED));
     let classifier = Classifier::new(config.seed);
@@ -203,7 +203,7 @@
         Some(listen) => Some(Peers::bind(listen, config.peers, config.peers_all)?),
         None => None,
     };
-    let outside = Outside {
+    let outside = RemoteServices {
         executor: Rc::clone(&executor),
         machines: Machines::new(Rc::clone(&places), config.settings.transport),
         discovery,
@@ -212,7 +212,7 @@
     };
     let about = format!("settings: {:?} {:?}", config.settings.module, config.settings.transport);
     let running = config.settings.clone();
-    let news = config.rollout_status.map(|s| s.news(false));
+    let news = config.rollout_status.map(|s| s.to_status(false));
     // The configuration's list is the platform's word; without one, what this front knew itself is better than nothing.
     let rows = match kept {
         Some(rows) if config.initial_list.rows.is_empty() => (0, rows),
@@ -220,7 +220,7 @@
     };
     let mut driver = Driver::start(config.seed, config.settings, rows, news, Rc::clone(&hub), outside);
     if let Some(watch) = config.shadow_settings {
-        driver.watch_for(watch.module);
+        driver.enable_shadow_settings(watch.module);
     }
     if let Some(peers) = peers {
         executor.spawn(peers.listen(hub.inputs.clone())).detach();
@@ -229,8 +229,8 @@
         fleet_member::start(member, &executor, &hub.inputs);
     }
     executor.spawn(reload(reloads, files, running, Rc::clone(&hub))).detach();
-    executor.spawn(clients::make_room(Rc::clone(&hub))).detach();
-    let door = Rc::new(Door::new(listener, Rc::clone(&hub), Rc::clone(&executor)));
+    executor.spawn(clients::close_idle_when_low(Rc::clone(&hub))).detach();
+    let door = Rc::new(ClientListener::new(listener, Rc::clone(&hub), Rc::clone(&executor)));
     executor.spawn(Rc::clone(&door).serve()).detach();
     log::info!("{about}");
     log::info!("{} serves on {}", config.name, config.listen);
@@ -240,7 +240,7 @@
         hub.begin_stop();
         Timer::after(STILL_COMING).await;
         // Danger: who waits to be accepted may have sent a request already, and is reset when the program ends.
-        while door.let_in() || places.in_use().0 > 0 {
+        while door.accept_waiting() || places.in_use().0 > 0 {
             Timer::after(STOP_CHECK).await;
         }
         log::info!("stopped");
@@ -252,7 +252,7 @@
 /// Reads the configuration again whenever told to. Danger: a signal that nobody handles ends the program, and a
 /// file caught half written must not take addresses away that still serve. So it is read as one whole or not
 /// at all; requests, the module's state and kept connections stay.
-async fn reload(mut told: Signals, files: Files, running: Settings, hub: Rc<EventBus>) {
+async fn reload(mut told: Signals, files: ConfigFiles, running: Settings, hub: Rc<EventBus>) {
     while told.next().await.is_some() {
         match files.read(Some(&running)) {
             Ok(Setup { config, rules, fleet, .. }) => {
--- a/crates/yarrowspoke-front/tests/bounds.rs
+++ b/crates/yarrowspoke-front/tests/bounds.rs
@@ -7,7 +7,7 @@
 use yarrowspoke_front::classify::Classifier;
 use yarrowspoke_front::config;
 use yarrowspoke_front::descriptor_budget::{BodyMemory, DescriptorBudget};
-use yarrowspoke_front::driver::{Driver, Outside};
+use yarrowspoke_front::driver::{Driver, RemoteServices};
 use yarrowspoke_front::event_bus::EventBus;
 use yarrowspoke_front::exchange::Call;
 use yarrowspoke_front::input::Input;
@@ -72,7 +72,7 @@
         LedgerWriter::default(),
         None,
     );
-    let outside = Outside {
+    let outside = RemoteServices {
         executor: Rc::new(LocalExecutor::new()),
         machines: Machines::new(places, config.settings.transport),
         discovery: Discovery::new(config.discovery, config.settings.names.clone(), 0, 0),
@@ -80,7 +80,7 @@
         peers: None,
     };
     let mut driver = Driver::start(1, config.settings, (0, Vec::new()), None, Rc::clone(&hub), outside);
-    let before = driver.held().1;
+    let before = driver.open_requests_and_timers().1;
     for n in 0..100 {
         let call = Call {
             method: "GET".into(),
@@ -97,12 +97,12 @@
             body: Vec::new(),
         };
         let exchange = hub.open_exchange(call, 0);
-        driver.take(Input::Arrived(Rc::clone(&exchange)));
+        driver.handle_input(Input::Arrived(Rc::clone(&exchange)));
         if exchange.abandon() {
-            driver.take(Input::ClientLeft(exchange.id));
+            driver.handle_input(Input::ClientLeft(exchange.id));
         }
     }
-    assert_eq!(driver.held(), (0, before));
+    assert_eq!(driver.open_requests_and_timers(), (0, before));
 }
 
 #[test]
--- a/crates/yarrowspoke-front/tests/crossings.rs
+++ b/crates/yarrowspoke-front/tests/crossings.rs
@@ -195,7 +195,7 @@
     // once the whole answer is read, and hands it over in the same turn.
     let first = discovery.supersede_watches();
     block_on(race(std::rc::Rc::clone(&discovery).watch(first, to.clone()), async {
-        while discovery.heard().is_none() {
+        while discovery.last_answered_at().is_none() {
             async_io::Timer::after(Duration::from_millis(1)).await;
         }
     }));
--- a/crates/yarrowspoke-front/tests/operator.rs
+++ b/crates/yarrowspoke-front/tests/operator.rs
@@ -4,7 +4,7 @@
 
 use common::{root, run_program, temp_file};
 use std::process::Output;
-use yarrowspoke_front::run::Files;
+use yarrowspoke_front::run::ConfigFiles;
 
 const BAD: &str =
     "(verdicts\n  (false-alarm 0.9)\n  (miss 0.05)\n  (least-fault -1)\n  (least-slowness 1.5))\n";
@@ -50,7 +50,7 @@
 fn files_are_read_as_one_whole_so_that_a_bad_one_changes_nothing() {
     let config = root().join("examples/config.json");
     let operator = temp_file("turns", GOOD);
-    let files = Files { config, operator: Some(operator.clone()) };
+    let files = ConfigFiles { config, operator: Some(operator.clone()) };
     let read = files.read(None).unwrap().config.settings.module.error_rates.unwrap();
     assert_eq!((read.false_rollback, read.min_slowdown), (0.01, 2.0));
     std::fs::write(&operator, BAD).unwrap();
--- a/crates/yarrowspoke-front/tests/parsers.rs
+++ b/crates/yarrowspoke-front/tests/parsers.rs
@@ -5,8 +5,8 @@
 use yarrowspoke::interface::{MachineState, Phase, Vote};
 use yarrowspoke_front::net::http::{Decoder, Framing, FromHead, HttpError, RawHead, BODY_LIMIT, HEAD_LIMIT};
 use yarrowspoke_front::net::list;
-use yarrowspoke_front::net::machines::load_values;
-use yarrowspoke_front::net::platform::{decode, Ballot, Line, LineDecoder, Refusal, State};
+use yarrowspoke_front::net::machines::parse_load_report;
+use yarrowspoke_front::net::platform::{decode, Ballot, LineDecoder, PlatformLine, Refusal, RolloutState};
 use yarrowspoke_settings::Names;
 
 #[derive(Debug, PartialEq)]
@@ -19,12 +19,12 @@
     type Context = ();
     const STRICT: bool = true;
 
-    fn unstated(&self) -> Option<Framing> {
+    fn default_framing(&self) -> Option<Framing> {
         Some(Framing::Length(0))
     }
 
     fn from_head(head: &RawHead, _: &()) -> Result<Self, HttpError> {
-        let start = head.start.iter().map(|s| (*s).to_owned()).collect();
+        let start = head.start_line.iter().map(|s| (*s).to_owned()).collect();
         Ok(Self { start, mark: head.field("x-mark").map(str::to_owned) })
     }
 }
@@ -33,7 +33,7 @@
     let (mut decoder, mut all) = (Decoder::<Head>::new(BODY_LIMIT), Vec::new());
     for part in parts {
         decoder.feed(part);
-        while let Some(message) = decoder.message()? {
+        while let Some(message) = decoder.next_message()? {
             all.push(message);
         }
     }
@@ -91,11 +91,11 @@
         let mut decoder = Decoder::<Head>::new(100);
         for part in &parts {
             decoder.feed(part);
-            if decoder.message().is_err() {
+            if decoder.next_message().is_err() {
                 break;
             }
         }
-        let _ = decoder.end();
+        let _ = decoder.finish();
         let mut lines = LineDecoder::default();
         for part in &parts {
             lines.feed(part);
@@ -105,15 +105,15 @@
         }
         let text = parts.concat();
         let _ = list::decode(&text, &Names::default());
-        let _ = load_values(&String::from_utf8_lossy(&text), &["a".to_owned()]);
+        let _ = parse_load_report(&String::from_utf8_lossy(&text), &["a".to_owned()]);
     }
 
     #[test]
     fn states_survive_the_way_over_the_line(build in any::<u16>(), stage in any::<u8>(), cap in 0.0..=1.0f64, ms in 0u32..9_000_000) {
         let line = format!("* progress {build} {stage} reverting {cap} {ms}");
         let age = u64::from(ms) * 1_000;
-        let state = State { build, stage, phase: Phase::RollingBack, cap, age };
-        prop_assert_eq!(decode(line.as_bytes()), Ok(Line::Progress(state)));
+        let state = RolloutState { build, stage, phase: Phase::RollingBack, cap, age };
+        prop_assert_eq!(decode(line.as_bytes()), Ok(PlatformLine::Progress(state)));
     }
 }
 
@@ -134,7 +134,7 @@
         "GET / HTTP/1.1\r\nA b: x\r\n\r\n",
         "GET / HTTP/1.1\r\n folded\r\n\r\n",
     ] {
-        assert_eq!(decoded(&[head.as_bytes()]), Err(HttpError::Field), "{head}");
+        assert_eq!(decoded(&[head.as_bytes()]), Err(HttpError::HeaderField), "{head}");
     }
 }
 
@@ -155,13 +155,13 @@
 
 #[test]
 fn the_platforms_words_mean_what_its_page_says() {
-    assert_eq!(decode(b"*"), Ok(Line::Alive));
-    assert_eq!(decode(b"OK"), Ok(Line::Done(None)));
-    let state = State { build: 42, stage: 1, phase: Phase::Trial, cap: 0.28, age: 310_000 };
-    assert_eq!(decode(b"OK 42 1 canary 0.28 310"), Ok(Line::Done(Some(state))));
-    assert_eq!(decode(b"ERR limit"), Ok(Line::Refused(Refusal::Limit)));
-    assert_eq!(decode(b"ERR moot"), Ok(Line::Refused(Refusal::Moot)));
-    assert_eq!(decode(b"* metrics 42 0 1"), Ok(Line::Other));
+    assert_eq!(decode(b"*"), Ok(PlatformLine::Heartbeat));
+    assert_eq!(decode(b"OK"), Ok(PlatformLine::Accepted(None)));
+    let state = RolloutState { build: 42, stage: 1, phase: Phase::Trial, cap: 0.28, age: 310_000 };
+    assert_eq!(decode(b"OK 42 1 canary 0.28 310"), Ok(PlatformLine::Accepted(Some(state))));
+    assert_eq!(decode(b"ERR limit"), Ok(PlatformLine::Refused(Refusal::Limit)));
+    assert_eq!(decode(b"ERR moot"), Ok(PlatformLine::Refused(Refusal::Moot)));
+    assert_eq!(decode(b"* metrics 42 0 1"), Ok(PlatformLine::Other));
     for bad in [
         "OK 42 1 canary 1.5 310",
         "OK 42 1 lost 0.5 310",
@@ -174,7 +174,7 @@
     ] {
         assert!(decode(bad.as_bytes()).is_err(), "{bad}");
     }
-    let ballot = Ballot { build: 42, stage: 1, verdict: Vote::Advance };
+    let ballot = Ballot { build: 42, stage: 1, vote: Vote::Advance };
     assert_eq!(ballot.encode(), "BALLOT 42 1 promote\r\n");
 }
 
@@ -187,7 +187,7 @@
       {"name":7},
       {"name":"s-3","status":"removed","zone":"a"}]}"#;
     let list = list::decode(text.as_bytes(), &names).unwrap();
-    assert_eq!((list.index, list.whole, list.unread, list.rows.len()), (41, true, 2, 2));
+    assert_eq!((list.index, list.is_snapshot, list.unreadable, list.rows.len()), (41, true, 2, 2));
     let e = &list.rows[0].entry;
     assert_eq!((e.zone, e.kind, e.cell, e.build, e.weight, e.started_at), (1, 0, 3, 41, 2.0, 5_000));
     assert_eq!(list.rows[1].entry.state, MachineState::Gone);
@@ -197,10 +197,10 @@
 #[test]
 fn a_load_report_is_read_in_the_settings_order_or_not_at_all() {
     let fields = ["mean_ms".to_owned(), "depth".to_owned()];
-    assert_eq!(load_values("depth=2, mean_ms=7.5,x=1", &fields), [7.5, 2.0]);
-    assert!(load_values("depth=2", &fields).is_empty());
-    assert!(load_values("depth=NaN,mean_ms=1", &fields).is_empty());
-    assert!(load_values("depth=-1,mean_ms=1", &fields).is_empty());
+    assert_eq!(parse_load_report("depth=2, mean_ms=7.5,x=1", &fields), [7.5, 2.0]);
+    assert!(parse_load_report("depth=2", &fields).is_empty());
+    assert!(parse_load_report("depth=NaN,mean_ms=1", &fields).is_empty());
+    assert!(parse_load_report("depth=-1,mean_ms=1", &fields).is_empty());
 }
 
 /// A line of a list.
@@ -226,5 +226,5 @@
     let machines: Vec<_> = list.rows.iter().map(|r| r.entry.machine).collect();
     let named = |name: &str| list::machine_id(name);
     assert_eq!(machines, [named("s-1"), named("s-2"), named("s-4")]);
-    assert_eq!((list.index, list.whole, list.unread), (7, false, 3));
+    assert_eq!((list.index, list.is_snapshot, list.unreadable), (7, false, 3));
 }
--- a/crates/yarrowspoke-lab/src/scale/hollow.rs
+++ b/crates/yarrowspoke-lab/src/scale/hollow.rs
@@ -179,12 +179,12 @@
                 spawner.spawn(again).detach();
             }
             Input::ListUpdated(ListMessage { kind, index, needs_snapshot, rows, .. }) => {
-                front.discovery.hold(index, needs_snapshot);
+                front.discovery.set_version(index, needs_snapshot);
                 let rows = front.member.apply_list(kind, index, rows);
                 front.take(kind, &rows);
                 front.listed.set(index);
             }
-            Input::ListConfirmed(_, version) => front.discovery.hold(version, false),
+            Input::ListConfirmed(_, version) => front.discovery.set_version(version, false),
             Input::RolloutStatus(news) => drop(front.member.apply_status(news)),
             Input::RestrictionsChanged => {
                 front.take(ListUpdate::Delta, &front.member.changed_rows());
--- a/crates/yarrowspoke-lab/src/scale/pure/list.rs
+++ b/crates/yarrowspoke-lab/src/scale/pure/list.rs
@@ -5,7 +5,7 @@
 use crate::scale::run::Options;
 use crate::scale::target;
 use std::io;
-use yarrowspoke_front::net::list::{decode, Listing, LIST_LIMIT};
+use yarrowspoke_front::net::list::{decode, ListResponse, LIST_LIMIT};
 use yarrowspoke_settings::Names;
 
 /// Names of the zones, as rows and settings have them.
@@ -31,7 +31,7 @@
 }
 
 /// The list as a front reads it.
-pub fn decoded(text: &[u8]) -> Option<Listing> {
+pub fn decoded(text: &[u8]) -> Option<ListResponse> {
     let names = Names { zones: zones(), kinds: vec!["m".to_owned()], ..Names::default() };
     decode(text, &names).ok()
 }
