--- a/crates/yarrowspoke-front/src/exchange.rs
+++ b/crates/yarrowspoke-front/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One client request and its final answer: the only thing that client and server side share.
+//! A client request and its final answer: the only state that the client side and the machine side share.
 
 use std::cell::RefCell;
 use std::collections::{HashSet, VecDeque};
@@ -15,79 +15,79 @@
     pub method: String,
     /// Path and query, passed on unchanged.
     pub target: String,
-    /// The client's id of it, passed on unchanged.
+    /// Call id that the client set, passed on unchanged.
     pub call_id: String,
-    /// The key by which machines know a repeat of it, passed on unchanged.
+    /// Key by which machines recognise a retry of the call, passed on unchanged.
     pub idempotency_key: Option<String>,
-    /// Position of its class in the settings.
+    /// Index of its class in the settings.
     pub class: u8,
-    /// Position of its tenant in the settings; past their end if unknown.
+    /// Index of its tenant in the settings; past the last tenant if unknown.
     pub tenant: u32,
-    /// How long the client waits.
+    /// How long the client waits for the answer.
     pub budget: Micros,
-    /// Its subject; 0 = none.
+    /// Hash key of the request's subject; 0 if it has none.
     pub key: u64,
-    /// The client's guess at the work.
+    /// Amount of work that the client estimates.
     pub work_hint: Option<Micros>,
-    /// Marked as a repeat.
+    /// Whether the client marked the call as a retry.
     pub is_retry: bool,
-    /// What the operators' rules say of it.
+    /// Policy that the operators' rules set for it.
     pub policy: RequestPolicy,
-    /// The body, passed on unchanged.
+    /// Request body, passed on unchanged.
     pub body: Vec<u8>,
 }
 
-/// Ids of the calls that are open, and of the last ones that were answered.
+/// Ids of the calls in progress and of those answered last.
 #[derive(Default)]
 pub struct CallIds {
-    seen: Rc<RefCell<Seen>>,
+    state: Rc<RefCell<CallIdState>>,
 }
 
 #[derive(Default)]
-struct Seen {
-    /// Open ones and answered ones alike.
-    all: HashSet<u64>,
-    /// Open ones.
+struct CallIdState {
+    /// Ids in progress and ids answered recently.
+    known: HashSet<u64>,
+    /// Ids in progress.
     open: HashSet<u64>,
-    /// Answered ones, in the order of their answers.
+    /// Answered ids, in the order of their answers.
     answered: VecDeque<u64>,
 }
 
-/// Answered ids that are remembered.
-const ANSWERED_KEPT: usize = 4_096;
+/// Number of answered ids that are remembered.
+const MAX_ANSWERED_IDS: usize = 4_096;
 
-/// An id in use, until dropped.
+/// Holds a call id in progress until it is dropped.
 pub struct OpenCallId {
-    seen: Rc<RefCell<Seen>>,
+    state: Rc<RefCell<CallIdState>>,
     id: u64,
 }
 
 impl CallIds {
-    /// Takes an id into use; `None` if it is open or was answered lately, as ids are fresh on every request. With `again`
-    /// an answered one may come again: a ledger knows what became of it.
-    pub fn open(&self, call_id: &str, again: bool) -> Option<OpenCallId> {
+    /// Registers a call id. Returns `None` if it is in progress or was answered recently, since each request has an id of
+    /// its own. With `allow_answered` an answered id may be used again: the ledger knows the outcome of that call.
+    pub fn open(&self, call_id: &str, allow_answered: bool) -> Option<OpenCallId> {
         let mut hasher = DefaultHasher::new();
         call_id.hash(&mut hasher);
         let id = hasher.finish();
-        let mut seen = self.seen.borrow_mut();
-        let fresh = seen.all.insert(id);
-        let free = fresh || again && !seen.open.contains(&id);
-        free.then(|| {
-            seen.open.insert(id);
-            OpenCallId { seen: Rc::clone(&self.seen), id }
+        let mut state = self.state.borrow_mut();
+        let is_new = state.known.insert(id);
+        let is_available = is_new || allow_answered && !state.open.contains(&id);
+        is_available.then(|| {
+            state.open.insert(id);
+            OpenCallId { state: Rc::clone(&self.state), id }
         })
     }
 }
 
 impl Drop for OpenCallId {
     fn drop(&mut self) {
-        let mut seen = self.seen.borrow_mut();
-        seen.open.remove(&self.id);
-        seen.answered.push_back(self.id);
-        if seen.answered.len() > ANSWERED_KEPT {
-            // One that came again stands in the row more than once.
-            if let Some(old) = seen.answered.pop_front().filter(|old| !seen.open.contains(old)) {
-                seen.all.remove(&old);
+        let mut state = self.state.borrow_mut();
+        state.open.remove(&self.id);
+        state.answered.push_back(self.id);
+        if state.answered.len() > MAX_ANSWERED_IDS {
+            // An id that was used again is in the queue more than once.
+            if let Some(old) = state.answered.pop_front().filter(|old| !state.open.contains(old)) {
+                state.known.remove(&old);
             }
         }
     }
@@ -96,48 +96,48 @@
 /// The final answer to a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Answer {
-    /// A machine's answer.
+    /// Body of a machine's answer.
     Served(Vec<u8>),
-    /// Refused: trying again is harmless, after so long if it is not 0.
+    /// Refused: a retry is safe, after this time if it is not 0.
     Refused(Micros),
-    /// Failed, without any promise.
+    /// Failed: the request may have run or not.
     Failed,
 }
 
 #[derive(Default)]
-struct Slot {
+struct AnswerSlot {
     answer: Option<Answer>,
-    over: bool,
+    finished: bool,
     waker: Option<Waker>,
 }
 
-/// A request on its way, shared by the client's connection and by its attempts.
+/// A request in progress, shared by the client's connection and the attempts.
 pub struct Exchange {
-    /// The front's own number of it.
+    /// Id that this front assigned to the request.
     pub id: RequestId,
-    /// What was asked.
+    /// The decoded call.
     pub call: Call,
-    /// When its last byte came.
+    /// When its last byte arrived.
     pub arrived_at: Micros,
     /// When the client stops waiting.
     pub deadline: Micros,
-    slot: RefCell<Slot>,
+    slot: RefCell<AnswerSlot>,
 }
 
 impl Exchange {
-    /// A request that has just come.
+    /// Creates the exchange of a request that has just arrived.
     pub fn new(id: RequestId, call: Call, arrived_at: Micros) -> Rc<Self> {
         let deadline = arrived_at.saturating_add(call.budget);
         Rc::new(Self { id, call, arrived_at, deadline, slot: RefCell::default() })
     }
 
-    /// Gives the final answer; false if there was one already or the client has left.
+    /// Sets the final answer. Returns false if there is one already or the client has disconnected.
     pub fn answer(&self, answer: Answer) -> bool {
         let mut slot = self.slot.borrow_mut();
-        if slot.over {
+        if slot.finished {
             return false;
         }
-        slot.over = true;
+        slot.finished = true;
         slot.answer = Some(answer);
         if let Some(waker) = slot.waker.take() {
             waker.wake();
@@ -145,14 +145,14 @@
         true
     }
 
-    /// The client has left; false if the answer was given before.
+    /// Records that the client has disconnected. Returns false if the final answer was set before.
     pub fn abandon(&self) -> bool {
-        !std::mem::replace(&mut self.slot.borrow_mut().over, true)
+        !std::mem::replace(&mut self.slot.borrow_mut().finished, true)
     }
 
-    /// Whether the request has its final answer or nobody waits for one.
+    /// Returns whether the request has its final answer or its client has disconnected.
     pub fn is_finished(&self) -> bool {
-        self.slot.borrow().over
+        self.slot.borrow().finished
     }
 
     /// Waits for the final answer.
