--- a/crates/yarrowspoke-front/src/input.rs
+++ b/crates/yarrowspoke-front/src/input.rs
@@ -1,4 +1,6 @@
-//! What passes between the parts of the front: inputs, the clock, a machine's address row. A leaf: it uses none of them.
+//! Types that the parts of the front exchange: inputs of the driver, the clock and rows of the list of machines.
+//!
+//! Of the front's own modules this one uses only `exchange`, so every other module can use it.
 
 use crate::exchange::Exchange;
 use std::net::SocketAddr;
@@ -9,74 +11,74 @@
     RolloutStatus,
 };
 
-/// One clock for all: it goes forward evenly, and began at the Unix time of the start.
+/// The clock of the whole front: monotonic, with the Unix time of the start as its origin.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    begun: Instant,
-    base: Micros,
+    started: Instant,
+    unix_base: Micros,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts a clock at the present Unix time.
     pub fn start() -> Self {
-        let base = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
-        Self { begun: Instant::now(), base }
+        let unix_base = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros);
+        Self { started: Instant::now(), unix_base }
     }
 
-    /// Microseconds, comparable with the start times in the list.
+    /// Returns the time in microseconds, comparable with the start times in the list of machines.
     pub fn now(&self) -> Micros {
-        self.base + self.begun.elapsed().as_micros() as Micros
+        self.unix_base + self.started.elapsed().as_micros() as Micros
     }
 
-    /// The same point in time for timers.
+    /// Converts a time of this clock to an [`Instant`] for timers.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.begun + Duration::from_micros(at.saturating_sub(self.base))
+        self.started + Duration::from_micros(at.saturating_sub(self.unix_base))
     }
 }
 
-/// A machine as listed.
+/// A machine in discovery's list.
 #[derive(Clone, Debug)]
 pub struct Row {
-    /// Where it listens, as this front reaches it; a removed one may have none.
+    /// Address at which this front reaches it; a removed machine may have none.
     pub address: Option<SocketAddr>,
-    /// What the module is told.
+    /// Entry passed to the decision module.
     pub entry: MachineEntry,
 }
 
-/// A machine's answer.
+/// A machine's reply to an attempt.
 #[derive(Debug)]
 pub struct Reply {
-    /// The outcome that it stands for.
+    /// Outcome that the reply's status means.
     pub outcome: CallOutcome,
-    /// The load report as it came.
+    /// Load report as received, not parsed.
     pub load_report: Option<String>,
-    /// The body.
+    /// Reply body.
     pub body: Vec<u8>,
 }
 
-/// What a new configuration changes in a front that runs; all else holds from its start.
+/// Addresses that a reloaded configuration can change while the front runs; everything else in it applies at start only.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where the platform is.
+    /// Address of the platform.
     pub platform: Option<SocketAddr>,
-    /// Where each front of the tier is reached, by number.
+    /// Address of each front of the tier, by its number.
     pub peers: Vec<SocketAddr>,
-    /// Where all of them are reached at once.
+    /// Address that reaches all fronts at once.
     pub peers_all: Option<SocketAddr>,
 }
 
-/// What the protocol ties to a class.
+/// Properties of a class that the request parser needs.
 pub struct ClassProtocol {
-    /// Its deadline, for requests that state no budget.
+    /// Deadline of requests that state no budget.
     pub deadline: Micros,
-    /// Its method, where the protocol names one.
+    /// HTTP method that requests of the class must use, if one is prescribed.
     pub method: Option<&'static str>,
 }
 
 impl ClassProtocol {
-    /// Of a class as the settings tell it.
+    /// Derives the properties from a class of the settings.
     pub fn of(class: &Class) -> Self {
         let method = match class.idempotency {
             Idempotency::Idempotent => Some("GET"),
@@ -87,48 +89,49 @@
     }
 }
 
-/// Names a watch: one that another has taken the place of may still have something to say, but vouches for nothing.
+/// Identifies a subscription to discovery. A subscription that has been replaced may still deliver updates, but these do
+/// not confirm that the list is current.
 pub type SubscriptionId = u64;
 
-/// What a watch or a call hands over.
+/// An update of the list, from a subscription or a single call.
 #[derive(Debug)]
 pub struct ListMessage {
-    /// The watch that heard it.
+    /// Subscription that received it.
     pub watch: SubscriptionId,
-    /// What the rows are.
+    /// Kind of update.
     pub kind: ListUpdate,
-    /// Discovery's version.
+    /// Discovery's version of the list.
     pub index: u64,
-    /// The version is not one that changes can be asked for from: only the whole list tells what has changed.
+    /// Whether deltas cannot be requested from this version, so that the next request has to fetch a snapshot.
     pub needs_snapshot: bool,
-    /// Machines.
+    /// Rows of the update.
     pub rows: Vec<Row>,
 }
 
-/// What the peers' modules bring to the driver.
+/// Events that the network modules send to the driver.
 pub enum Input {
-    /// A request has come.
+    /// A request arrived.
     Arrived(Rc<Exchange>),
-    /// Its client has left.
+    /// The client of a request disconnected.
     ClientLeft(RequestId),
-    /// An attempt has ended by itself.
+    /// An attempt ended without having been cancelled.
     AttemptEnded(RequestId, u16, Result<Reply, CallOutcome>),
-    /// A probe of a machine has ended: how, how long it took, and the load report as it came.
+    /// A probe of a machine ended: its outcome, how long it took and the load report as received.
     ProbeEnded(MachineId, CallOutcome, Micros, Option<String>),
-    /// Discovery has told something, or failed.
+    /// Discovery sent an update of the list, or a call to it failed.
     ListUpdated(ListMessage),
-    /// Discovery has told this watch that there is nothing new: the list held was current just now, which is of this version.
+    /// Discovery confirmed to this subscription that nothing has changed: the present list, of this version, is current.
     ListConfirmed(SubscriptionId, u64),
-    /// The platform has told something, or answered a vote.
+    /// The platform sent a rollout status, or the reply to a vote.
     RolloutStatus(RolloutStatus),
-    /// A peer's message.
+    /// A message from a peer arrived.
     PeerMessage(u32, Vec<u8>),
-    /// A new configuration names other addresses.
+    /// A reloaded configuration names other addresses.
     AddressesChanged(Addresses),
-    /// Rates of judging that the operators state from now on.
+    /// The operators' file states other error rates for judging builds.
     ErrorRatesChanged(Option<ErrorRates>),
-    /// What planners take away may have changed.
+    /// What the planners take away from this front may have changed.
     RestrictionsChanged,
-    /// This front is behind the others: its own sources are to be asked anew.
+    /// This front is stale compared with the others and has to query its own sources again.
     RefreshSources,
 }
