--- a/crates/yarrowspoke-front/src/ledger_writer.rs
+++ b/crates/yarrowspoke-front/src/ledger_writer.rs
@@ -1,7 +1,7 @@
-//! The store in the running front: requests that must not run twice pass it before they go and before they are answered,
-//! and what the front knows is written now and then.
+//! The front's use of the durable ledger. A request that must not run twice is recorded before it is sent and before it is
+//! answered; a snapshot of the list and the rollout status is written from time to time.
 //!
-//! What a record means and when there is room is decided in `yarrowspoke_store::ledger`; here it is only carried out.
+//! `yarrowspoke_store::ledger` decides what a record means and when there is space for one; this module carries it out.
 
 use crate::exchange::{Answer, Call};
 use crate::input::Row;
@@ -20,111 +20,116 @@
 use yarrowspoke_store::store::{served, Done, Op};
 use yarrowspoke_store::writer::Hand;
 
-/// Least time between two snapshots.
-const SNAPSHOT_EVERY: Micros = 2_000_000;
-/// When to come back while the disk is crowded, stuck or has failed.
-const COME_BACK: Micros = 1_000_000;
+/// Minimum time between two snapshots.
+const SNAPSHOT_INTERVAL_US: Micros = 2_000_000;
+/// Retry-After of requests refused because the disk is overloaded, does not respond or has failed.
+const RETRY_AFTER_US: Micros = 1_000_000;
 
-/// What becomes of a request that must not run twice.
+/// What the front does with a request that must not run twice.
 pub enum LedgerDecision {
-    /// It may go; its intent is durable under this id.
+    /// It may be sent: its intent is durable under this id.
     Admitted(u128),
-    /// It has its answer without going anywhere.
+    /// It is answered at once, without being sent.
     Answered(Answer),
-    /// It was done before and its answer is not kept: neither a refusal nor leave to try again.
+    /// It ran before and its answer is not stored. The reply is neither a refusal nor a permission to retry.
     AlreadyDone,
-    /// It is open.
+    /// Another attempt at the same request is in progress.
     InProgress,
 }
 
-/// A class, as far as the store minds it.
+/// Properties of a class that the ledger depends on.
 #[derive(Clone, Copy, Debug)]
-struct ClassKept {
-    effect: Idempotency,
-    /// Microseconds for which an ended request is kept.
-    keep: Micros,
+struct ClassRecordPolicy {
+    idempotency: Idempotency,
+    /// Microseconds for which the record of a finished request is kept.
+    retention: Micros,
 }
 
-struct On {
-    hand: Hand,
+struct OpenLedger {
+    writer: Hand,
     settings: StoreSettings,
-    classes: Vec<ClassKept>,
+    classes: Vec<ClassRecordPolicy>,
     class_names: Vec<String>,
 }
 
-/// The store, or none.
+/// Records requests in the ledger and writes snapshots; does nothing if no store is configured.
 #[derive(Default)]
 pub struct LedgerWriter {
-    on: Option<On>,
+    ledger: Option<OpenLedger>,
     refused: Cell<u64>,
-    again: Cell<u64>,
+    repeated: Cell<u64>,
     snapshot_at: Cell<Micros>,
     rows: RefCell<BTreeMap<MachineId, Row>>,
-    news: RefCell<Option<snapshot::News>>,
-    /// Discovery has told a list since the start.
-    told_list: Cell<bool>,
+    status: RefCell<Option<snapshot::News>>,
+    /// Whether discovery has sent a list since the start.
+    has_fresh_list: Cell<bool>,
     changed: Cell<bool>,
 }
 
 impl LedgerWriter {
-    /// A keeper over an open store.
-    pub fn new(hand: Hand, settings: StoreSettings, front: &Settings) -> Self {
+    /// Creates a writer for an open store.
+    pub fn new(writer: Hand, settings: StoreSettings, front_settings: &Settings) -> Self {
         let class = |c: &yarrowspoke::interface::Class| {
-            // A group of machines forgets a key after its window, and the ledger must not do so before.
-            let keep = if c.idempotency == Idempotency::Keyed {
+            // Machines forget an idempotency key after their deduplication window; the ledger must not forget it earlier.
+            let retention = if c.idempotency == Idempotency::Keyed {
                 c.dedup_window.max(settings.keep)
             } else {
                 settings.keep
             };
-            ClassKept { effect: c.idempotency, keep }
+            ClassRecordPolicy { idempotency: c.idempotency, retention }
         };
-        let classes = front.module.classes.iter().map(class).collect();
-        let class_names = front.names.classes.clone();
-        Self { on: Some(On { hand, settings, classes, class_names }), ..Self::default() }
+        let classes = front_settings.module.classes.iter().map(class).collect();
+        let class_names = front_settings.names.classes.clone();
+        Self { ledger: Some(OpenLedger { writer, settings, classes, class_names }), ..Self::default() }
     }
 
-    /// Whether a call passes the store.
+    /// Returns whether a call has to be recorded.
     pub fn requires_record(&self, call: &Call) -> bool {
-        let effect = |on: &On| on.classes.get(usize::from(call.class)).map(|c| c.effect);
-        self.on
+        let idempotency =
+            |ledger: &OpenLedger| ledger.classes.get(usize::from(call.class)).map(|c| c.idempotency);
+        self.ledger
             .as_ref()
-            .and_then(effect)
+            .and_then(idempotency)
             .is_some_and(|e| e != Idempotency::Idempotent || call.policy.at_most_once)
     }
 
-    /// Whether the front is to say that it is not ready, as its disk has failed.
+    /// Returns whether the front has to report that it is not ready because its disk has failed.
     pub fn is_down(&self) -> bool {
-        self.on.as_ref().is_some_and(|on| on.settings.down_when_failed && on.hand.has_failed())
+        self.ledger
+            .as_ref()
+            .is_some_and(|ledger| ledger.settings.down_when_failed && ledger.writer.has_failed())
     }
 
-    /// Rules on a call that [`LedgerWriter::requires_record`], once its intent is durable. Danger: a stuck disk must hold up nobody else, nor
-    /// this client for longer than is stated: it is refused then, as nothing of it was sent.
+    /// Records the intent of a call that [`LedgerWriter::requires_record`] and returns the decision once the intent is durable.
+    ///
+    /// A disk that does not respond delays no other request, and this client no longer than the configured time. The call
+    /// is then refused, which is safe since nothing of it was sent.
     pub async fn record_intent(&self, call: &Call) -> LedgerDecision {
-        let Some(on) = &self.on else { return LedgerDecision::InProgress };
-        let (id, keep) = on.id(call);
-        let done = match on.hand.give(Op::Begin { id, keep }) {
-            Ok(pending) => within(Duration::from_micros(on.settings.stuck), pending.done()).await,
+        let Some(ledger) = &self.ledger else { return LedgerDecision::InProgress };
+        let (id, keep) = ledger.record_key(call);
+        let done = match ledger.writer.give(Op::Begin { id, keep }) {
+            Ok(pending) => within(Duration::from_micros(ledger.settings.stuck), pending.done()).await,
             Err(e) => Some(Err(e)),
         };
         match done {
-            Some(Ok(Done::Ruled(ruling))) => self.ruled(id, ruling),
-            Some(_) => self.refuse(COME_BACK),
+            Some(Ok(Done::Ruled(ruling))) => self.decide(id, ruling),
+            Some(_) => self.refuse(RETRY_AFTER_US),
             None => {
-                // It may still become durable; then it has not run.
-                let _ = on.hand.give(Op::End { id, state: State::NotRun, keep });
-                self.refuse(COME_BACK)
+                // The intent may still become durable later; the second record says that the request has not run.
+                let _ = ledger.writer.give(Op::End { id, state: State::NotRun, keep });
+                self.refuse(RETRY_AFTER_US)
             }
         }
     }
 
-    fn refuse(&self, after: Micros) -> LedgerDecision {
+    fn refuse(&self, retry_after: Micros) -> LedgerDecision {
         self.refused.set(self.refused.get() + 1);
-        LedgerDecision::Answered(Answer::Refused(after))
+        LedgerDecision::Answered(Answer::Refused(retry_after))
     }
 
-    fn ruled(&self, id: u128, ruling: Ruling) -> LedgerDecision {
+    fn decide(&self, id: u128, ruling: Ruling) -> LedgerDecision {
         if !matches!(ruling, Ruling::Admit | Ruling::Full(_)) {
-            self.again.set(self.again.get() + 1);
+            self.repeated.set(self.repeated.get() + 1);
         }
         match ruling {
             Ruling::Admit => LedgerDecision::Admitted(id),
@@ -132,139 +137,146 @@
             Ruling::AlreadyDone => LedgerDecision::AlreadyDone,
             Ruling::FailedBefore | Ruling::InDoubt => LedgerDecision::Answered(Answer::Failed),
             Ruling::Open => LedgerDecision::InProgress,
-            Ruling::Full(after) => self.refuse(after),
+            Ruling::Full(retry_after) => self.refuse(retry_after),
         }
     }
 
-    /// Records the end of a call before its client is told; `None` if the client left, and nobody knows whether it ran.
-    /// A disk that fails now leaves it in doubt, which is safe; the answer is owed all the same.
+    /// Records the outcome of a call before its client is answered. `answer` is `None` if the client disconnected and it is
+    /// unknown whether the call ran. If the disk fails here, the call stays in doubt, which is safe, and the client is
+    /// answered all the same.
     pub async fn record_outcome(&self, id: u128, call: &Call, answer: Option<&Answer>) {
-        let Some(on) = &self.on else { return };
-        let (_, keep) = on.id(call);
+        let Some(ledger) = &self.ledger else { return };
+        let (_, keep) = ledger.record_key(call);
         let state = match answer {
-            Some(Answer::Served(body)) => served(body, on.settings.answers),
+            Some(Answer::Served(body)) => served(body, ledger.settings.answers),
             Some(Answer::Refused(_)) => State::NotRun,
             Some(Answer::Failed) | None => State::Done(Outcome::Failed),
         };
-        let Ok(pending) = on.hand.give(Op::End { id, state, keep }) else { return };
+        let Ok(pending) = ledger.writer.give(Op::End { id, state, keep }) else { return };
         if answer.is_some() {
-            within(Duration::from_micros(on.settings.stuck), pending.done()).await;
+            within(Duration::from_micros(ledger.settings.stuck), pending.done()).await;
         }
     }
 
-    /// The list has been told. One held from before a start is where changes go on from, and by itself nothing to write
-    /// down: it would look younger than it is.
+    /// Records an update of the list for the next snapshot. A list from before the start is the base of later deltas, but it
+    /// is not written again by itself: the new snapshot would make it look more recent than it is.
     pub fn record_list(&self, kind: ListUpdate, rows: &[Row]) {
-        if self.on.is_none() || kind.is_failure() {
+        if self.ledger.is_none() || kind.is_failure() {
             return;
         }
-        let mut known = self.rows.borrow_mut();
+        let mut rows_by_machine = self.rows.borrow_mut();
         if kind != ListUpdate::Delta {
-            known.clear();
+            rows_by_machine.clear();
         }
         for row in rows {
             if row.entry.state == MachineState::Gone {
-                known.remove(&row.entry.machine);
+                rows_by_machine.remove(&row.entry.machine);
             } else {
-                known.insert(row.entry.machine, row.clone());
+                rows_by_machine.insert(row.entry.machine, row.clone());
             }
         }
-        self.told_list.set(self.told_list.get() || kind != ListUpdate::Cached);
-        self.changed.set(self.told_list.get());
+        self.has_fresh_list.set(self.has_fresh_list.get() || kind != ListUpdate::Cached);
+        self.changed.set(self.has_fresh_list.get());
     }
 
-    /// The platform has told something.
-    pub fn record_status(&self, now: Micros, news: &RolloutStatus) {
-        if self.on.is_none() {
+    /// Records a rollout status for the next snapshot.
+    pub fn record_status(&self, now: Micros, status: &RolloutStatus) {
+        if self.ledger.is_none() {
             return;
         }
-        let phase = PHASES.iter().position(|p| *p == news.phase).unwrap_or(0) as u8;
-        let since = now.saturating_sub(news.age);
-        let news = snapshot::News { build: news.build, stage: news.stage, phase, cap: news.cap, since };
-        *self.news.borrow_mut() = Some(news);
-        self.changed.set(self.told_list.get());
+        let phase = PHASES.iter().position(|p| *p == status.phase).unwrap_or(0) as u8;
+        let since = now.saturating_sub(status.age);
+        let status =
+            snapshot::News { build: status.build, stage: status.stage, phase, cap: status.cap, since };
+        *self.status.borrow_mut() = Some(status);
+        self.changed.set(self.has_fresh_list.get());
     }
 
-    /// Writes what is known, if it has changed and the last time was long enough ago. Nobody waits for it.
+    /// Writes a snapshot if something has changed and the last one is old enough. The caller does not wait for the disk.
     pub fn write_snapshot(&self, now: Micros, names: &Names) {
-        let Some(on) = &self.on else { return };
-        if !self.changed.get() || now < self.snapshot_at.get() + SNAPSHOT_EVERY {
+        let Some(ledger) = &self.ledger else { return };
+        if !self.changed.get() || now < self.snapshot_at.get() + SNAPSHOT_INTERVAL_US {
             return;
         }
-        let lines = self.rows.borrow().values().map(|r| line(r, names)).collect();
-        let news = self.news.borrow().clone();
-        let known = Known { at: now, deployment: deployment(names), index: 0, lines, news };
-        if on.hand.give(Op::Snapshot(known)).is_ok() {
+        let lines = self.rows.borrow().values().map(|r| snapshot_line(r, names)).collect();
+        let status = self.status.borrow().clone();
+        let known = Known { at: now, deployment: deployment(names), index: 0, lines, news: status };
+        if ledger.writer.give(Op::Snapshot(known)).is_ok() {
             self.changed.set(false);
             self.snapshot_at.set(now);
         }
     }
 
-    /// What the store did since this was last asked, in words; `None` without one.
+    /// Returns a line on what the store did since the last call; `None` without a store.
     pub fn report(&self) -> Option<String> {
-        let on = self.on.as_ref()?;
-        let counts = &on.hand.counts;
+        let ledger = self.ledger.as_ref()?;
+        let counts = &ledger.writer.counts;
         let (ops, groups) = (counts.ops.swap(0, Ordering::Relaxed), counts.groups.swap(0, Ordering::Relaxed));
         let longest = counts.longest_us.swap(0, Ordering::Relaxed);
-        let state = if on.hand.has_failed() { "FAILED: unsafe classes are refused" } else { "well" };
+        let state = if ledger.writer.has_failed() {
+            "FAILED: requests that must not run twice are refused"
+        } else {
+            "healthy"
+        };
         Some(format!(
-            "store: {state}; operations {ops} in {groups} groups, longest {longest} us; come again {}, refused {}",
-            self.again.take(),
+            "store: {state}; operations {ops} in {groups} groups, longest {longest} us; repeated requests {}, refused {}",
+            self.repeated.take(),
             self.refused.take()
         ))
     }
 }
 
-impl On {
-    /// A call's id in the ledger, and how long it is kept: an unsafe one by its own id, a keyed one by its key.
-    fn id(&self, call: &Call) -> (u128, Micros) {
+impl OpenLedger {
+    /// Returns the record id of a call and how long its record is kept. A call with an idempotency key is recorded by that
+    /// key, any other by its call id.
+    fn record_key(&self, call: &Call) -> (u128, Micros) {
         let class = usize::from(call.class);
-        let kept = self.classes.get(class).copied();
+        let policy = self.classes.get(class).copied();
         let name = self.class_names.get(class).map_or("", String::as_str);
-        let keyed = kept.is_some_and(|k| k.effect == Idempotency::Keyed) && call.key != 0;
+        let keyed = policy.is_some_and(|p| p.idempotency == Idempotency::Keyed) && call.key != 0;
         let identity = if keyed { format!("key {}", call.key) } else { call.call_id.clone() };
-        (self.hand.id_of(name, &identity), kept.map_or(self.settings.keep, |k| k.keep))
+        (self.writer.id_of(name, &identity), policy.map_or(self.settings.keep, |p| p.retention))
     }
 }
 
 const PHASES: [Phase; 4] = [Phase::Trial, Phase::RollingBack, Phase::Released, Phase::Withdrawn];
 
-/// What a deployment's names come to, so that a snapshot of another one is known as such.
+/// Returns a key made of a deployment's names, by which a snapshot of another deployment is recognised.
 pub fn deployment(names: &Names) -> String {
     [&names.classes, &names.zones, &names.kinds, &names.tenants].map(|n| n.join(",")).join(";")
 }
 
-fn line(row: &Row, names: &Names) -> Line {
-    let e = &row.entry;
+fn snapshot_line(row: &Row, names: &Names) -> Line {
+    let entry = &row.entry;
     let name = |all: &[String], at: usize| all.get(at).cloned().unwrap_or_default();
     Line {
-        machine: e.machine,
+        machine: entry.machine,
         address: row.address.map(|a| a.to_string()).unwrap_or_default(),
-        zone: name(&names.zones, e.zone.into()),
-        kind: name(&names.kinds, e.kind.into()),
-        build: e.build,
-        cell: e.cell,
-        ready: e.state == MachineState::Ready,
-        weight: e.weight,
-        started: e.started_at,
+        zone: name(&names.zones, entry.zone.into()),
+        kind: name(&names.kinds, entry.kind.into()),
+        build: entry.build,
+        cell: entry.cell,
+        ready: entry.state == MachineState::Ready,
+        weight: entry.weight,
+        started: entry.started_at,
     }
 }
 
-/// The rows of a snapshot, as discovery would have told them.
+/// Returns the rows of a snapshot in the form in which discovery sends them.
 pub fn snapshot_rows(known: &Known, names: &Names) -> Vec<Row> {
-    let place = |all: &[String], name: &str| all.iter().position(|n| n == name);
-    let row = |l: &Line| {
+    let position = |all: &[String], name: &str| all.iter().position(|n| n == name);
+    let row = |line: &Line| {
         let entry = yarrowspoke::interface::MachineEntry {
-            machine: l.machine,
-            zone: place(&names.zones, &l.zone).map_or(u16::MAX, |z| z as u16),
-            kind: place(&names.kinds, &l.kind).map_or(u8::MAX, |k| k as u8),
-            build: l.build,
-            cell: l.cell,
-            state: if l.ready { MachineState::Ready } else { MachineState::Draining },
-            weight: l.weight,
-            started_at: l.started,
+            machine: line.machine,
+            zone: position(&names.zones, &line.zone).map_or(u16::MAX, |z| z as u16),
+            kind: position(&names.kinds, &line.kind).map_or(u8::MAX, |k| k as u8),
+            build: line.build,
+            cell: line.cell,
+            state: if line.ready { MachineState::Ready } else { MachineState::Draining },
+            weight: line.weight,
+            started_at: line.started,
         };
-        Some(Row { address: Some(l.address.parse().ok()?), entry })
+        Some(Row { address: Some(line.address.parse().ok()?), entry })
     };
     known.lines.iter().filter_map(row).collect()
 }
