--- a/crates/yarrowspoke-front/src/fleet_member.rs
+++ b/crates/yarrowspoke-front/src/fleet_member.rs
@@ -1,7 +1,8 @@
 //! A front as a member of a fleet: carries out what `yarrowspoke_fleet::front` decides.
 //!
-//! What planners take away reaches the decision module as what its own sources might have told: a machine that drains, a cap
-//! that falls. So the module needs no word of the fleet, and nothing here can give a request more than the module would.
+//! Restrictions that planners impose reach the decision module in the form in which its own sources could have sent them: a
+//! machine that drains, a cap that falls. So the module needs no knowledge of the fleet, and this code can never allow a
+//! request more than the module would.
 
 use crate::input::{Input, Row};
 use crate::net::fleet::{exchange, LinkError};
@@ -25,213 +26,214 @@
 use yarrowspoke_fleet::version::{self, digest, Source, Version};
 use yarrowspoke_fleet::wire::{decode_listing, encode_listing, Answer};
 
-/// Least time between two times at which the front's own sources are asked again for being behind.
-const AGAIN_EVERY: Duration = Duration::from_secs(2);
-/// Least time between two lines on one planner that cannot be heard.
-const COMPLAIN_EVERY: Duration = Duration::from_secs(10);
+/// Minimum time between two refreshes of the front's own sources because the front is stale.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(2);
+/// Minimum time between two log lines about the same unreachable planner.
+const UNREACHABLE_LOG_INTERVAL: Duration = Duration::from_secs(10);
 const PHASES: [Phase; 4] = [Phase::Trial, Phase::Released, Phase::RollingBack, Phase::Withdrawn];
 
-/// Digests of a front's files: the configuration, the operator's file, the settings that all fronts share.
+/// Digests of a front's files: the configuration, the operator's file, and the settings that all fronts share.
 pub type Digests = (u64, u64, u64);
 
-/// What of a configuration all fronts share; the rest, a list of thousands of lines among it, is passed over.
+/// The part of a configuration that all fronts share. The rest, which may include a list of thousands of lines, is skipped.
 #[derive(Default, Deserialize)]
 struct Shared {
     #[serde(default)]
     settings: serde_json::Value,
 }
 
-/// Digests of the files as they are now.
+/// Computes the digests of the files in their present state.
 pub fn digests(config: &Path, operator: Option<&Path>) -> Digests {
     let bytes = std::fs::read(config).unwrap_or_default();
     let mut settings = serde_json::from_slice::<Shared>(&bytes).map(|s| s.settings).unwrap_or_default();
-    // Which front it is and where it stands differ by design.
+    // The front's number and its zone differ between fronts by design.
     if let Some(fields) = settings.as_object_mut() {
         ["Me", "Zone"].iter().for_each(|f| drop(fields.remove(*f)));
     }
     let text = operator.and_then(|p| std::fs::read_to_string(p).ok()).unwrap_or_default();
-    // So do the addresses at which it reaches the others.
+    // The addresses at which it reaches the other members differ as well.
     let mut parts = text.split("(address");
     let first = parts.next().unwrap_or("").to_owned();
     let rest: String = parts.map(|p| p.split_once(')').map_or("", |p| p.1)).collect();
     (digest(&bytes), digest((first + &rest).as_bytes()), digest(settings.to_string().as_bytes()))
 }
 
-/// A digest of the program that runs; it is read once, however many members one process has.
-fn program() -> u64 {
+/// Returns a digest of the running program. The file is read once, even if one process runs many members.
+fn program_digest() -> u64 {
     static DIGEST: OnceLock<u64> = OnceLock::new();
     *DIGEST.get_or_init(|| std::env::current_exe().and_then(std::fs::read).map_or(0, |b| digest(&b)))
 }
 
-fn phase(p: Phase) -> u8 {
-    PHASES.iter().position(|q| *q == p).unwrap_or(0) as u8
+fn phase_code(phase: Phase) -> u8 {
+    PHASES.iter().position(|p| *p == phase).unwrap_or(0) as u8
 }
 
-fn told(news: &RolloutStatus) -> version::News {
-    let cap = (news.cap.clamp(0.0, 1.0) * 1e6).round() as u32;
-    version::News { build: news.build, stage: news.stage, phase: phase(news.phase), cap }
+fn fleet_status(status: &RolloutStatus) -> version::News {
+    let cap = (status.cap.clamp(0.0, 1.0) * 1e6).round() as u32;
+    version::News { build: status.build, stage: status.stage, phase: phase_code(status.phase), cap }
 }
 
-/// The member.
+/// A front's membership in a fleet.
 pub struct Member {
     side: RefCell<FrontSide>,
-    begun: Instant,
+    started: Instant,
     discovery: Rc<Discovery>,
     rows: RefCell<BTreeMap<MachineId, Row>>,
-    /// What the module was last told of each machine.
-    shown: RefCell<BTreeMap<MachineId, (MachineState, Build)>>,
-    /// By what was left out of that.
-    taken_away: Cell<Option<TakenAway>>,
-    news: Cell<Option<RolloutStatus>>,
-    shown_news: Cell<Option<version::News>>,
-    again: Cell<Option<Instant>>,
+    /// State and build of each machine as last passed to the module.
+    passed_on: RefCell<BTreeMap<MachineId, (MachineState, Build)>>,
+    /// Restrictions that were applied to that.
+    restrictions: Cell<Option<TakenAway>>,
+    own_status: Cell<Option<RolloutStatus>>,
+    passed_on_status: Cell<Option<version::News>>,
+    refreshed_at: Cell<Option<Instant>>,
     stance: Cell<Stance>,
-    come_back: Micros,
-    twin: Cell<bool>,
+    retry_after: Micros,
+    has_duplicate: Cell<bool>,
 }
 
 impl Member {
-    /// A member that has just started.
+    /// Creates a member that has just started.
     pub fn new(
         fleet: Fleet,
         name: &str,
         digests: Digests,
         discovery: Rc<Discovery>,
-        most_back: Micros,
+        max_retry_after: Micros,
     ) -> Rc<Self> {
         let (config, operator, settings) = digests;
         let list = version::List { index: 0, source: Source::Held, epoch: 0, digest: 0 };
-        let version = Version { list, news: None, config, operator, settings, program: program() };
+        let version = Version { list, news: None, config, operator, settings, program: program_digest() };
         let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |d| d.as_micros() as u64);
-        let come_back = fleet.back_after.max(fleet.renew).min(most_back);
+        let retry_after = fleet.back_after.max(fleet.renew).min(max_retry_after);
         Rc::new(Self {
             side: RefCell::new(FrontSide::new(fleet, name, incarnation, version)),
-            begun: Instant::now(),
+            started: Instant::now(),
             discovery,
             rows: RefCell::default(),
-            shown: RefCell::default(),
-            taken_away: Cell::new(None),
-            news: Cell::new(None),
-            shown_news: Cell::new(None),
-            again: Cell::new(None),
+            passed_on: RefCell::default(),
+            restrictions: Cell::new(None),
+            own_status: Cell::new(None),
+            passed_on_status: Cell::new(None),
+            refreshed_at: Cell::new(None),
             stance: Cell::new(Stance::Open),
-            come_back,
-            twin: Cell::new(false),
+            retry_after,
+            has_duplicate: Cell::new(false),
         })
     }
 
     fn now(&self) -> Micros {
-        self.begun.elapsed().as_micros() as Micros
+        self.started.elapsed().as_micros() as Micros
     }
 
-    /// Monotonic and wall time; the second is only ever a hint.
+    /// Returns monotonic and wall time. Wall time is never more than a hint.
     fn clocks(&self) -> (Micros, Micros) {
         (self.now(), SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as Micros))
     }
 
-    /// Whether a new request may be taken now. Looked at for each: a process that stood still wakes on an old lease.
+    /// Returns whether a new request may be accepted now. This is checked for each request, since a process that was
+    /// suspended resumes with an expired lease.
     pub fn accepts_requests(&self) -> bool {
         self.side.borrow().takes(self.now())
     }
 
-    /// When one that is not taken may come back.
+    /// Returns the Retry-After of requests that are not accepted.
     pub fn retry_after(&self) -> Micros {
-        self.come_back
+        self.retry_after
     }
 
-    /// Whether votes are withheld.
+    /// Returns whether votes are withheld because this front is out of service.
     pub fn withholds_votes(&self) -> bool {
         self.side.borrow().stance(self.now()) == Stance::Out
     }
 
-    /// Whether nothing may be sent there now, whatever the module knows yet.
+    /// Returns whether nothing may be sent to this machine now, even if the module does not know of that yet.
     pub fn excludes(&self, machine: MachineId, build: Build) -> bool {
         self.side.borrow().leaves_out(self.now(), machine, build)
     }
 
-    /// A request is taken.
+    /// Records that a request was accepted.
     pub fn record_request(&self) {
         self.side.borrow_mut().recorder().taken();
     }
 
-    /// An attempt is sent.
+    /// Records that an attempt was sent.
     pub fn record_attempt(&self, machine: MachineId, build: Build) {
         self.side.borrow_mut().recorder().attempt(machine, build);
     }
 
-    /// A vote is cast.
+    /// Records that a vote was cast.
     pub fn record_vote(&self) {
         self.side.borrow_mut().recorder().vote();
     }
 
-    /// A request is refused or failed.
+    /// Records that a request was refused or failed.
     pub fn record_shed_request(&self) {
         self.side.borrow_mut().recorder().given_up();
     }
 
-    /// Its own sources told a list, or a part of it; what the module is to be told instead.
+    /// Handles an update of the list from the front's own sources and returns the rows to pass to the module instead.
     pub fn apply_list(&self, kind: ListUpdate, index: u64, rows: Vec<Row>) -> Vec<Row> {
         if kind.is_failure() {
             return rows;
         }
         {
-            let mut own = self.rows.borrow_mut();
+            let mut own_rows = self.rows.borrow_mut();
             if kind != ListUpdate::Delta {
-                own.clear();
-                self.shown.borrow_mut().clear();
+                own_rows.clear();
+                self.passed_on.borrow_mut().clear();
             }
-            own.extend(rows.iter().map(|r| (r.entry.machine, r.clone())));
-            let mut text = Vec::new();
-            let there = || own.values().filter(|r| r.entry.state != MachineState::Gone);
-            for row in there() {
-                let e = &row.entry;
-                text.extend_from_slice(&e.machine.to_le_bytes());
-                text.extend_from_slice(&e.build.to_le_bytes());
-                text.push(u8::from(e.state == MachineState::Ready));
+            own_rows.extend(rows.iter().map(|r| (r.entry.machine, r.clone())));
+            let mut encoded = Vec::new();
+            let listed = || own_rows.values().filter(|r| r.entry.state != MachineState::Gone);
+            for row in listed() {
+                let entry = &row.entry;
+                encoded.extend_from_slice(&entry.machine.to_le_bytes());
+                encoded.extend_from_slice(&entry.build.to_le_bytes());
+                encoded.push(u8::from(entry.state == MachineState::Ready));
             }
-            let ready = there().filter(|r| r.entry.state == MachineState::Ready);
+            let ready = listed().filter(|r| r.entry.state == MachineState::Ready);
             let ready = ready.map(|r| (r.entry.machine, r.entry.build)).collect();
             let source = if kind == ListUpdate::Cached { Source::Held } else { Source::Discovery };
-            self.side.borrow_mut().listed(self.clocks(), (index, digest(&text)), source, ready);
+            self.side.borrow_mut().listed(self.clocks(), (index, digest(&encoded)), source, ready);
         }
-        // All that is new has to be told, also where it looks as before.
+        // Every row of the update has to be passed on, even one that looks the same as before.
         for row in &rows {
-            self.shown.borrow_mut().remove(&row.entry.machine);
+            self.passed_on.borrow_mut().remove(&row.entry.machine);
         }
-        if self.is_otherwise() {
-            return self.changed(self.rows.borrow().values());
+        if self.restrictions_changed() {
+            return self.restricted_rows(self.rows.borrow().values());
         }
-        let own = self.rows.borrow();
-        let told: BTreeSet<MachineId> = rows.iter().map(|r| r.entry.machine).collect();
-        self.changed(told.iter().filter_map(|m| own.get(m)))
+        let own_rows = self.rows.borrow();
+        let updated: BTreeSet<MachineId> = rows.iter().map(|r| r.entry.machine).collect();
+        self.restricted_rows(updated.iter().filter_map(|m| own_rows.get(m)))
     }
 
-    /// Whether something else is left out than when it was last looked at.
-    fn is_otherwise(&self) -> bool {
-        let now = Some(self.side.borrow().taken_away(self.now()));
-        self.taken_away.replace(now) != now
+    /// Returns whether the restrictions have changed since the last call.
+    fn restrictions_changed(&self) -> bool {
+        let present = Some(self.side.borrow().taken_away(self.now()));
+        self.restrictions.replace(present) != present
     }
 
-    /// Rows that look otherwise than the module was last told. Looked at in every renewal, so all of a long list only where
-    /// something else is left out than before.
+    /// Returns the rows that differ from what was last passed to the module. This is called at every lease renewal, so a long
+    /// list is searched only if the restrictions have changed.
     pub fn changed_rows(&self) -> Vec<Row> {
-        if self.is_otherwise() {
-            self.changed(self.rows.borrow().values())
+        if self.restrictions_changed() {
+            self.restricted_rows(self.rows.borrow().values())
         } else {
             Vec::new()
         }
     }
 
-    /// Those of some rows that look otherwise than the module was last told.
-    fn changed<'a>(&self, rows: impl Iterator<Item = &'a Row>) -> Vec<Row> {
-        let (now, side, mut shown) = (self.now(), self.side.borrow(), self.shown.borrow_mut());
+    /// Returns those of `rows` that, with the restrictions applied, differ from what was last passed to the module.
+    fn restricted_rows<'a>(&self, rows: impl Iterator<Item = &'a Row>) -> Vec<Row> {
+        let (now, side, mut passed_on) = (self.now(), self.side.borrow(), self.passed_on.borrow_mut());
         let mut out = Vec::new();
         for row in rows {
             let (machine, build, mut state) = (row.entry.machine, row.entry.build, row.entry.state);
             if state == MachineState::Ready && side.leaves_out(now, machine, build) {
                 state = MachineState::Draining;
             }
-            if shown.insert(machine, (state, build)) != Some((state, build)) {
+            if passed_on.insert(machine, (state, build)) != Some((state, build)) {
                 let mut row = row.clone();
                 row.entry.state = state;
                 out.push(row);
@@ -240,38 +242,40 @@
         out
     }
 
-    fn narrowed(&self, news: RolloutStatus) -> RolloutStatus {
+    fn restricted_status(&self, status: RolloutStatus) -> RolloutStatus {
         match self.side.borrow().narrower_news() {
-            Some(n) if n.narrows(&told(&news)) => {
-                let (phase, cap) = (PHASES[usize::from(n.phase.min(3))], f64::from(n.cap) / 1e6);
-                RolloutStatus { phase, cap: cap.min(news.cap), ..news }
+            Some(narrower) if narrower.narrows(&fleet_status(&status)) => {
+                let (phase, cap) =
+                    (PHASES[usize::from(narrower.phase.min(3))], f64::from(narrower.cap) / 1e6);
+                RolloutStatus { phase, cap: cap.min(status.cap), ..status }
             }
-            _ => news,
+            _ => status,
         }
     }
 
-    /// Its own source told news; what the module is to be told instead.
-    pub fn apply_status(&self, news: RolloutStatus) -> RolloutStatus {
-        self.side.borrow_mut().told(self.clocks(), told(&news));
-        self.news.set(Some(news));
-        let news = self.narrowed(news);
-        self.shown_news.set(Some(told(&news)));
-        news
+    /// Handles a rollout status from the front's own source and returns the one to pass to the module instead.
+    pub fn apply_status(&self, status: RolloutStatus) -> RolloutStatus {
+        self.side.borrow_mut().told(self.clocks(), fleet_status(&status));
+        self.own_status.set(Some(status));
+        let status = self.restricted_status(status);
+        self.passed_on_status.set(Some(fleet_status(&status)));
+        status
     }
 
-    /// News that the module is to be told again, as planners have taken something away.
+    /// Returns the rollout status to pass to the module again if planners have restricted it further.
     pub fn changed_status(&self) -> Option<RolloutStatus> {
-        let narrowed = RolloutStatus { is_vote_reply: false, age: 0, ..self.narrowed(self.news.get()?) };
-        let now = told(&narrowed);
-        let changed = self.shown_news.get().is_some_and(|shown| now.narrows(&shown));
+        let restricted =
+            RolloutStatus { is_vote_reply: false, age: 0, ..self.restricted_status(self.own_status.get()?) };
+        let present = fleet_status(&restricted);
+        let changed = self.passed_on_status.get().is_some_and(|passed_on| present.narrows(&passed_on));
         changed.then(|| {
-            self.shown_news.set(Some(now));
-            log::warn!(build = now.build, phase:? = narrowed.phase, cap = narrowed.cap; "fleet: reconciled by planners");
-            narrowed
+            self.passed_on_status.set(Some(present));
+            log::warn!(build = present.build, phase:? = restricted.phase, cap = restricted.cap; "fleet: reconciled by planners");
+            restricted
         })
     }
 
-    /// The files were read again.
+    /// Applies files that were read again.
     pub fn reload(&self, digests: Digests, fleet: Option<Fleet>) {
         let mut side = self.side.borrow_mut();
         side.reread(self.clocks(), digests);
@@ -283,41 +287,42 @@
     fn tick(&self) {
         let (now, wall) = self.clocks();
         let mut side = self.side.borrow_mut();
-        if let Some(heard) = self.discovery.heard() {
-            side.confirmed(heard.saturating_duration_since(self.begun).as_micros() as Micros);
+        if let Some(confirmed_at) = self.discovery.heard() {
+            side.confirmed(confirmed_at.saturating_duration_since(self.started).as_micros() as Micros);
         }
         side.tick(now, wall);
         let stance = side.stance(now);
         if self.stance.replace(stance) != stance {
             let (list, kept) = (side.version().list.index, side.recorder().kept());
-            log::warn!(stance:?, list, kept; "fleet: stands");
+            log::warn!(stance:?, list, kept; "fleet: membership state changed");
         }
     }
 
     fn answered(&self, planner: usize, sent_at: Micros, answer: Answer) -> Change {
         let change = self.side.borrow_mut().answered(planner, sent_at, self.now(), answer);
-        if self.twin.replace(change.twin) != change.twin && change.twin {
+        if self.has_duplicate.replace(change.twin) != change.twin && change.twin {
             log::error!("fleet: another process runs under this front's name");
         }
         change
     }
 
-    /// Whether to ask its own sources again now.
-    fn asks_again(&self) -> bool {
-        let due = self.again.get().is_none_or(|at| at.elapsed() >= AGAIN_EVERY);
+    /// Returns whether the front's own sources are due for another refresh, and records it if so.
+    fn starts_refresh(&self) -> bool {
+        let due = self.refreshed_at.get().is_none_or(|at| at.elapsed() >= REFRESH_INTERVAL);
         if due {
-            self.again.set(Some(Instant::now()));
+            self.refreshed_at.set(Some(Instant::now()));
         }
         due
     }
 }
 
-/// Starts what a member does by itself: its spans, and a heartbeat to each planner at every renewal.
+/// Starts a member's background tasks: its record of spans, and a heartbeat to each planner at every renewal.
 pub fn start(member: &Rc<Member>, executor: &LocalExecutor<'static>, inputs: &Sender<Input>) {
     let fleet = member.side.borrow().fleet().clone();
-    for (n, planner) in fleet.planners().enumerate() {
+    for (index, planner) in fleet.planners().enumerate() {
         if let Some(address) = planner.address {
-            let heartbeats = heartbeats(Rc::clone(member), n, planner.name.clone(), address, inputs.clone());
+            let heartbeats =
+                heartbeats(Rc::clone(member), index, planner.name.clone(), address, inputs.clone());
             executor.spawn(heartbeats).detach();
         }
     }
@@ -333,56 +338,63 @@
     executor.spawn(ticks).detach();
 }
 
-async fn heartbeats(member: Rc<Member>, n: usize, name: String, address: SocketAddr, inputs: Sender<Input>) {
-    let (mut line, mut complained) = (None, None::<Instant>);
+async fn heartbeats(
+    member: Rc<Member>,
+    planner: usize,
+    name: String,
+    address: SocketAddr,
+    inputs: Sender<Input>,
+) {
+    let (mut connection, mut logged_at) = (None, None::<Instant>);
     loop {
         let (renew, lease) = {
             let side = member.side.borrow();
             (Duration::from_micros(side.fleet().renew), Duration::from_micros(side.fleet().lease))
         };
-        let begun = Instant::now();
+        let started = Instant::now();
         let sent_at = member.now();
-        let body = encode_listing(&mut member.side.borrow_mut().heartbeat(n, sent_at));
-        let exchanged = exchange(&mut line, address, ("POST", "/fleet/report"), &body);
-        let answer = within((lease / 4).max(renew), exchanged).await;
-        let heard = match answer {
+        let body = encode_listing(&mut member.side.borrow_mut().heartbeat(planner, sent_at));
+        let exchanged = exchange(&mut connection, address, ("POST", "/fleet/report"), &body);
+        let reply = within((lease / 4).max(renew), exchanged).await;
+        let answer = match reply {
             Some(Ok(bytes)) => decode_listing::<Answer>(&bytes).map_err(|e| e.to_string()),
             Some(Err(LinkError::Status(status, why))) => Err(format!("refused with {status}: {why}")),
             Some(Err(e)) => {
-                member.side.borrow_mut().failed(n, sent_at);
+                member.side.borrow_mut().failed(planner, sent_at);
                 Err(e.to_string())
             }
             None => {
-                member.side.borrow_mut().failed(n, sent_at);
+                member.side.borrow_mut().failed(planner, sent_at);
                 Err("no answer in time".to_owned())
             }
         };
-        match heard {
+        match answer {
             Ok(answer) if answer.planner == name => {
-                let change = member.answered(n, sent_at, answer);
+                let change = member.answered(planner, sent_at, answer);
                 if change.narrowed {
                     let _ = inputs.send(Input::RestrictionsChanged).await;
                 }
-                if change.again && member.asks_again() {
+                if change.again && member.starts_refresh() {
                     let _ = inputs.send(Input::RefreshSources).await;
                 }
             }
             Ok(other) => log::error!("fleet: {name} answers as {}", other.planner),
             Err(why) => {
-                line = None;
-                if complained.is_none_or(|at| at.elapsed() > COMPLAIN_EVERY) {
-                    complained = Some(Instant::now());
-                    log::warn!(planner = name.as_str(), why = why.as_str(); "fleet: not heard");
+                connection = None;
+                if logged_at.is_none_or(|at| at.elapsed() > UNREACHABLE_LOG_INTERVAL) {
+                    logged_at = Some(Instant::now());
+                    log::warn!(planner = name.as_str(), why = why.as_str(); "fleet: planner did not answer");
                 }
             }
         }
-        rest(&member, n, begun + renew).await;
+        wait_for_next_heartbeat(&member, planner, started + renew).await;
     }
 }
 
-/// Until the next heartbeat is due: at the renewal, or, where the section has a pace, whenever that is. What changes meanwhile
-/// is looked for in each part of a renewal, for which the pace leaves room.
-async fn rest(member: &Member, n: usize, renewal: Instant) {
+/// Waits until the next heartbeat is due: at the renewal, or, if the section sets a pace, at the time that the pace gives.
+/// With a pace, changes are looked for several times in each renewal interval, since the pace allows an earlier heartbeat
+/// for them.
+async fn wait_for_next_heartbeat(member: &Member, planner: usize, renewal: Instant) {
     if member.side.borrow().fleet().paced.is_none() {
         Timer::at(renewal).await;
         return;
@@ -391,7 +403,7 @@
         let now = member.now();
         let (due, renew) = {
             let mut side = member.side.borrow_mut();
-            (side.due(n, now), side.fleet().renew)
+            (side.due(planner, now), side.fleet().renew)
         };
         if due <= now {
             return;
