--- a/crates/yarrowspoke-front/src/config.rs
+++ b/crates/yarrowspoke-front/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file, read into a typed value; an error names the field.
+//! Reads the configuration file into a typed value. An error names the field.
 
 use crate::check;
 use crate::input::Addresses;
@@ -17,17 +17,17 @@
     /// The file cannot be read.
     #[error("configuration {path}: {source}")]
     File {
-        /// Where it should be.
+        /// Path of the file.
         path: String,
-        /// What went wrong.
+        /// Why it cannot be read.
         source: std::io::Error,
     },
-    /// A field is missing or has no sense.
+    /// A field is missing or its value is not valid.
     #[error("configuration field {field}: {why}")]
     Field {
-        /// The field.
+        /// Path of the field.
         field: String,
-        /// What is wrong with it.
+        /// Why its value is not valid.
         why: String,
     },
 }
@@ -38,60 +38,60 @@
     }
 }
 
-/// Limits under which this front runs.
+/// Resource limits of this front.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Limits {
-    /// File descriptors that it may hold.
+    /// Number of file descriptors that it may open.
     pub sockets: usize,
     /// Memory in MB.
-    #[serde(default = "ample")]
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: usize,
 }
 
-fn ample() -> usize {
+fn default_memory_mb() -> usize {
     192
 }
 
 impl Limits {
-    /// Bytes that large bodies may hold together: an eighth of the memory.
+    /// Returns the number of bytes that large bodies may occupy together: an eighth of the memory.
     pub fn body_memory(&self) -> usize {
         self.memory_mb * (1024 * 1024 / 8)
     }
 }
 
-/// All that this front is told when it starts.
+/// Configuration of a front, as read at its start.
 #[derive(Debug)]
 pub struct Config {
-    /// Its name.
+    /// Name of this front.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// For random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Limits of its machine.
+    /// Resource limits.
     pub limits: Limits,
-    /// Where peers' messages arrive.
+    /// Address on which messages from peers arrive.
     pub peer_listen: Option<SocketAddr>,
-    /// Where each front of the tier is reached, by number.
+    /// Address of each front of the tier, by its number.
     pub peers: Vec<SocketAddr>,
-    /// Where all of them are reached at once.
+    /// Address that reaches all fronts at once.
     pub peers_all: Option<SocketAddr>,
-    /// Where the platform is.
+    /// Address of the platform.
     pub platform: Option<SocketAddr>,
-    /// State of the newest build as last told.
+    /// Last known state of the newest build.
     pub rollout_status: Option<State>,
-    /// The list of machines as last held.
+    /// Last known list of machines.
     pub initial_list: Listing,
-    /// The settings that the simulator would hand over.
+    /// Settings of the front, in the form in which the simulator passes them.
     pub settings: Settings,
-    /// Settings that are only watched: what they would have changed is counted.
+    /// Settings that run in shadow mode only: decisions that they would have changed are counted.
     pub shadow_settings: Option<Settings>,
 }
 
-/// The list held stays text until its lines are read one by one. Danger: taken apart at once it is ten times its size, and that
-/// memory a front never gets back.
+/// The configuration file. The list of machines stays text until its lines are parsed one by one: parsed at once it takes ten
+/// times its size, and the front never gets that memory back.
 #[derive(Deserialize)]
 struct File<'a> {
     #[serde(default)]
@@ -118,7 +118,7 @@
 }
 
 impl Config {
-    /// Where the parties are that a front may be told to reach elsewhere while it runs.
+    /// Returns the addresses that a reload may change while the front runs.
     pub fn addresses(&self) -> Addresses {
         Addresses {
             discovery: self.discovery,
@@ -144,9 +144,9 @@
         ConfigError::field(&field, e.into_inner())
     })?;
     let seed = u64::from_str_radix(&file.seed, 16).map_err(|e| ConfigError::field("seed", e))?;
-    let settings = settings_of("settings", &file.settings)?;
+    let settings = read_settings("settings", &file.settings)?;
     let shadow_settings = match &file.watch {
-        Some(over) => Some(watched(&settings, &file.settings, over)?),
+        Some(over) => Some(merge_shadow_settings(&settings, &file.settings, over)?),
         None => None,
     };
     let initial_list = match file.known {
@@ -177,20 +177,20 @@
     })
 }
 
-/// Reads settings, and checks those of them in which a slip would pass unnoticed.
-fn settings_of(at: &str, value: &serde_json::Value) -> Result<Settings, ConfigError> {
-    let field = |path: &str| format!("{at}.{path}");
+/// Reads settings, and checks those in which a mistake would go unnoticed.
+fn read_settings(section: &str, value: &serde_json::Value) -> Result<Settings, ConfigError> {
+    let field = |path: &str| format!("{section}.{path}");
     let mut settings = yarrowspoke_settings::from_value(value).map_err(|e| {
         let path = field(&e.path().to_string());
         ConfigError::field(&path, e.into_inner())
     })?;
-    // Whether the platform calls it pushed or asked for, on sockets the list comes to those only who watch it.
+    // Whether the settings call the list pushed or pulled, over sockets a front gets it only by subscribing to it.
     settings.module.pulls_list = true;
-    // A watch answers at the end of each wait, also where nothing changed.
+    // A subscription is answered at the end of each long poll, even if nothing has changed.
     settings.module.list_heartbeats = true;
     let module = &settings.module;
     if module.classes.is_empty() {
-        return Err(ConfigError::field(&field("Classes"), "at least one class is needed"));
+        return Err(ConfigError::field(&field("Classes"), "at least one class is required"));
     }
     let source = value.pointer("/Report/Source").and_then(|s| s.as_str()).unwrap_or("answers");
     if !["answers", "probe", "none"].contains(&source) {
@@ -200,38 +200,38 @@
     if source == "probe" && !module.allows_probes {
         return Err(ConfigError::field(
             &field("Bounds.Probes"),
-            "true is expected where reports come by probes",
+            "expected true, since Report.Source is \"probe\"",
         ));
     }
-    check::words(value).and_then(|()| check::figures(&settings)).map_err(|f| {
-        let path = field(&f.path);
-        ConfigError::field(&path, f.why)
+    check::check_words(value).and_then(|()| check::check_values(&settings)).map_err(|fault| {
+        let path = field(&fault.path);
+        ConfigError::field(&path, fault.why)
     })?;
     Ok(settings)
 }
 
-/// The settings with what is watched laid over them. Names and positions stay: what is counted would else be that
-/// requests and machines are called otherwise.
-fn watched(
+/// Merges the section `watch` over the settings. Names and their positions must not differ; otherwise the counts would only
+/// show that requests and machines have other names.
+fn merge_shadow_settings(
     settings: &Settings,
     value: &serde_json::Value,
     over: &serde_json::Value,
 ) -> Result<Settings, ConfigError> {
     let mut merged = value.clone();
-    lay_over(&mut merged, over);
-    let watched = settings_of("watch", &merged)?;
-    if watched.names != settings.names {
-        let why = "classes, tenants, zones, kinds and report fields must be named as in settings";
+    merge_over(&mut merged, over);
+    let shadow_settings = read_settings("watch", &merged)?;
+    if shadow_settings.names != settings.names {
+        let why = "classes, tenants, zones, kinds and report fields must have the same names as in settings";
         return Err(ConfigError::field("watch", why));
     }
-    Ok(watched)
+    Ok(shadow_settings)
 }
 
-fn lay_over(base: &mut serde_json::Value, over: &serde_json::Value) {
+fn merge_over(base: &mut serde_json::Value, over: &serde_json::Value) {
     match (base, over) {
         (serde_json::Value::Object(base), serde_json::Value::Object(over)) => {
             for (key, value) in over {
-                lay_over(base.entry(key.clone()).or_insert(serde_json::Value::Null), value);
+                merge_over(base.entry(key.clone()).or_insert(serde_json::Value::Null), value);
             }
         }
         (base, over) => *base = over.clone(),
