--- a/crates/yarrowspoke-front/src/classify.rs
+++ b/crates/yarrowspoke-front/src/classify.rs
@@ -1,8 +1,7 @@
-//! The operators' rules in the running front: which set is in force, and what it makes of a call.
+//! The operators' rules in the running front: holds the rule set in force and applies it to calls.
 //!
-//! What rules may say and how limits count is decided in `yarrowspoke_expr::{ruling, buckets}`; here it is only carried
-//! out. A set is taken into use as one whole: a request is read and ruled under the set that was in force when its head
-//! was read.
+//! `yarrowspoke_expr::{ruling, buckets}` define what rules may do and how limits count; this module carries it out. A rule set
+//! is replaced as a whole: a request is read and classified under the set that was in force when its head was read.
 
 use crate::exchange::Call;
 use std::cell::{Cell, RefCell};
@@ -15,65 +14,66 @@
 use yarrowspoke_operator::rules::Rules;
 use yarrowspoke_settings::Settings;
 
-/// A compiled set in use.
+/// A compiled rule set in use.
 pub struct LoadedRules {
-    /// The set.
+    /// Compiled rules.
     pub set: Set,
     scratch: RefCell<Scratch>,
 }
 
-/// Requests that rules looked at since it was last told.
+/// Counts of requests to which rules were applied since the last report.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ruled {
-    seen: u64,
+pub struct RuleCounts {
+    evaluated: u64,
     matched: u64,
     refused: u64,
     limited: u64,
     too_long: u64,
-    no_value: u64,
+    without_value: u64,
 }
 
-/// Which rules are in force, and the buckets of their limits.
+/// Holds the rules in force and the token buckets of their limits.
 pub struct Classifier {
     loaded: RefCell<Option<Rc<LoadedRules>>>,
     buckets: RefCell<Buckets>,
-    most: Cell<usize>,
+    max_buckets: Cell<usize>,
     seed: u64,
-    counts: Cell<Ruled>,
+    counts: Cell<RuleCounts>,
 }
 
 impl Classifier {
-    /// No rules yet. `seed` keeps clients from foreseeing which keys of limits fall together.
+    /// Creates a classifier without rules. With the random `seed` clients cannot predict which limit keys collide.
     pub fn new(seed: u64) -> Rc<Self> {
         Rc::new(Self {
             loaded: RefCell::default(),
             buckets: RefCell::new(Buckets::new(0)),
-            most: Cell::new(0),
+            max_buckets: Cell::new(0),
             seed,
             counts: Cell::default(),
         })
     }
 
-    /// The set in force.
+    /// Returns the rule set in force.
     pub fn loaded(&self) -> Option<Rc<LoadedRules>> {
         self.loaded.borrow().clone()
     }
 
-    /// Takes other rules into use, or none. Buckets of limits that go on are kept: a reload is no way to a fresh burst.
+    /// Replaces the rules in force; `None` removes them. Buckets of limits that remain are kept, so that a reload does not grant
+    /// another burst.
     pub fn load(&self, rules: Option<Rules>) {
         let Some(rules) = rules else {
             *self.loaded.borrow_mut() = None;
             return;
         };
         let mut buckets = self.buckets.borrow_mut();
-        if self.most.replace(rules.buckets) != rules.buckets {
+        if self.max_buckets.replace(rules.buckets) != rules.buckets {
             *buckets = Buckets::new(rules.buckets);
         }
         buckets.keep_rules(|id| rules.set.has_limit(id));
         let (set, (patterns, automata)) = (&rules.set, rules.set.regexes());
         log::info!(
             "rules: {} in force, up to {} steps a request, {} bytes; {patterns} patterns of {automata} bytes, {} rules \
-             looked at for every request",
+             evaluated for every request",
             set.len(),
             set.price(),
             set.bytes(),
@@ -86,8 +86,8 @@
         *self.loaded.borrow_mut() = Some(Rc::new(LoadedRules { set: rules.set, scratch }));
     }
 
-    /// Takes into `call` what the rules say of it; else the status with which it is answered, as it is longer than the
-    /// bounds on which the rules' prices rest.
+    /// Applies the rules to `call` and sets its policy, budget and tenant. Returns the status to answer with if the call is
+    /// longer than the bounds for which the rules' cost was computed.
     pub fn apply_rules(
         &self,
         loaded: &LoadedRules,
@@ -97,12 +97,12 @@
         now: Micros,
     ) -> Result<(), u16> {
         let mut counts = self.counts.get();
-        counts.seen += 1;
+        counts.evaluated += 1;
         let request = as_request(call, headers, names);
-        if let Err(long) = request.fits(loaded.set.bounds()) {
+        if let Err(too_long) = request.fits(loaded.set.bounds()) {
             counts.too_long += 1;
             self.counts.set(counts);
-            return Err(match long {
+            return Err(match too_long {
                 TooLong::Target => 414,
                 TooLong::Header => 431,
             });
@@ -110,41 +110,41 @@
         let scratch = &mut *loaded.scratch.borrow_mut();
         let ruling = loaded.set.rule::<false>(scratch, &request);
         counts.matched += u64::from(ruling.matched > 0);
-        counts.no_value += u64::from(ruling.faults);
-        let mut ruled = ruling.ruled;
-        counts.refused += u64::from(ruled.refuse_with_retry_after.is_some());
-        if ruled.refuse_with_retry_after.is_none() && !scratch.limits().is_empty() {
-            ruled.refuse_with_retry_after = self.buckets.borrow_mut().take(now, scratch.limits()).err();
-            counts.limited += u64::from(ruled.refuse_with_retry_after.is_some());
+        counts.without_value += u64::from(ruling.faults);
+        let mut policy = ruling.ruled;
+        counts.refused += u64::from(policy.refuse_with_retry_after.is_some());
+        if policy.refuse_with_retry_after.is_none() && !scratch.limits().is_empty() {
+            policy.refuse_with_retry_after = self.buckets.borrow_mut().take(now, scratch.limits()).err();
+            counts.limited += u64::from(policy.refuse_with_retry_after.is_some());
         }
         if let Some(budget) = ruling.budget.filter(|b| *b < call.budget) {
-            ruled.deadline_cut = call.budget - budget;
+            policy.deadline_cut = call.budget - budget;
             call.budget = budget;
         }
         if let Some(tenant) = ruling.tenant {
             call.tenant = tenant;
         }
-        call.policy = ruled;
+        call.policy = policy;
         self.counts.set(counts);
         Ok(())
     }
 
-    /// What rules did since this was last asked, in words; `None` if they looked at nothing.
+    /// Returns a line on what the rules did since the last call; `None` if they were not applied to any request.
     pub fn report(&self) -> Option<String> {
-        let c = self.counts.take();
+        let counts = self.counts.take();
         let shared = std::mem::take(&mut self.buckets.borrow_mut().counts).shared;
-        (c.seen > 0).then(|| {
-            let part = 100.0 * (c.refused + c.limited) as f64 / c.seen as f64;
+        (counts.evaluated > 0).then(|| {
+            let percent = 100.0 * (counts.refused + counts.limited) as f64 / counts.evaluated as f64;
             format!(
-                "rules: requests {}, matched {}, refused {}, over a limit {} ({part:.1} % of all), too long {}, without a \
-                 value {}, keys beyond the table {shared}",
-                c.seen, c.matched, c.refused, c.limited, c.too_long, c.no_value
+                "rules: requests {}, matched {}, refused {}, over a limit {} (together {percent:.1} % of requests), too long {}, without a \
+                 value {}, on shared buckets {shared}",
+                counts.evaluated, counts.matched, counts.refused, counts.limited, counts.too_long, counts.without_value
             )
         })
     }
 }
 
-/// A call as rules see it.
+/// Returns a call in the form in which rules evaluate it.
 pub fn as_request<'a>(
     call: &'a Call,
     headers: &'a [Option<String>],
@@ -163,7 +163,7 @@
     }
 }
 
-/// A deployment's names and bounds, as rules are bound to them.
+/// Returns the names and bounds of a deployment to which rules are bound.
 pub fn rule_context(settings: &Settings) -> World<'_> {
     let (names, module) = (&settings.names, &settings.module);
     World {
