--- a/crates/yarrowspoke-front/src/explain.rs
+++ b/crates/yarrowspoke-front/src/explain.rs
@@ -1,4 +1,4 @@
-//! `yarrowspoke explain`: what the rules make of one request, and why.
+//! `yarrowspoke explain`: prints how the rules classify one request, and why.
 
 use crate::classify::{as_request, rule_context, Classifier};
 use crate::cli::CommandOutput;
@@ -11,19 +11,24 @@
 use yarrowspoke_expr::set::Scratch;
 use yarrowspoke_settings::Names;
 
-/// Explains what the rules of the operator's file make of the request in a file, as bytes of HTTP/1.1. With a
-/// configuration the rules are bound to its settings; without one the request's own names are taken as known.
+/// Explains how the rules of the operator's file classify a request. The file `request` holds the request as bytes of
+/// HTTP/1.1. With a configuration the rules are bound to its settings; without one the names in the request count as known.
 pub fn explain(file: &Path, request: &Path, configuration: Option<&Path>, all: bool) -> CommandOutput {
-    match told(file, request, configuration, all) {
+    match explanation(file, request, configuration, all) {
         Ok(text) => CommandOutput { text, success: true },
         Err(text) => CommandOutput { text: format!("{text}\n"), success: false },
     }
 }
 
-fn told(file: &Path, request: &Path, configuration: Option<&Path>, all: bool) -> Result<String, String> {
+fn explanation(
+    file: &Path,
+    request: &Path,
+    configuration: Option<&Path>,
+    all: bool,
+) -> Result<String, String> {
     let operator = yarrowspoke_operator::load(file).map_err(|e| e.to_string())?;
     let Some(mut rules) = operator.rules else {
-        return Err(format!("{}: there is no section rules in it", file.display()));
+        return Err(format!("{}: the file has no section rules", file.display()));
     };
     let shown = request.display();
     let bytes = std::fs::read(request).map_err(|e| format!("{shown}: {e}"))?;
@@ -36,9 +41,9 @@
     }
     let names = match &config {
         Some(config) => config.settings.names.clone(),
-        None => named_in(&bytes),
+        None => names_in_request(&bytes),
     };
-    let facts: Vec<ClassProtocol> = match &config {
+    let class_protocols: Vec<ClassProtocol> = match &config {
         Some(config) => config.settings.module.classes.iter().map(ClassProtocol::of).collect(),
         None => names.classes.iter().map(|_| ClassProtocol { deadline: 0, method: None }).collect(),
     };
@@ -49,32 +54,36 @@
     let (mut head, body) = match decoder.message() {
         Ok(Some(message)) => message,
         Ok(None) => {
-            return Err(format!("{shown}: a request cut short, expected a whole one: head, empty line, body"))
+            return Err(format!(
+                "{shown}: the request is cut short, expected a head, an empty line and the whole body"
+            ))
         }
         Err(e) => return Err(format!("{shown}: answered with {}: {e}", e.status())),
     };
     let Some((loaded, headers)) = head.take_rules() else { return Err("no rules are in force".to_owned()) };
     let set = &loaded.set;
-    let call = match head.asked(body, &names, &facts, &classifier, 0) {
+    let call = match head.asked(body, &names, &class_protocols, &classifier, 0) {
         Asked::Call(call) => call,
         Asked::Ready => return Err(format!("{shown}: the front answers /up itself")),
-        Asked::Nothing(status) => return Err(format!("{shown}: answered with {status} before any rule")),
+        Asked::Nothing(status) => {
+            return Err(format!("{shown}: answered with {status} before any rule is applied"))
+        }
     };
     let request = as_request(&call, &headers, &names);
-    if let Err(long) = request.fits(set.bounds()) {
-        return Err(format!("{shown}: answered with 414 or 431: {long:?} over the bounds of the rules"));
+    if let Err(too_long) = request.fits(set.bounds()) {
+        return Err(format!("{shown}: answered with 414 or 431: {too_long:?} over the bounds of the rules"));
     }
     let mut scratch = Scratch::new(set, 0);
     let mut out = String::new();
     let explained = set.explain(&mut scratch, &request, all);
     for rule in &explained {
-        let held = match rule.held {
+        let result = match rule.held {
             Some(true) => "holds",
             Some(false) => "does not hold",
             None => "has no value",
         };
-        let found = if rule.found { "" } else { ", and was not looked at" };
-        let _ = writeln!(out, "rule {}: {held}{found}", rule.name);
+        let note = if rule.found { "" } else { ", and was not evaluated" };
+        let _ = writeln!(out, "rule {}: {result}{note}", rule.name);
         for (part, value) in &rule.parts {
             let _ = writeln!(out, "    {part}  =  {value}");
         }
@@ -82,43 +91,49 @@
     let ruling = set.rule::<true>(&mut scratch, &request);
     let steps = scratch.steps();
     if ruling.matched == 0 {
-        let _ = writeln!(out, "no rule counts for it");
+        let _ = writeln!(out, "no rule applies to it");
     } else {
-        let _ = writeln!(out, "{} of {} rules count for it; together they say:", ruling.matched, set.len());
-        said(&mut out, &ruling, &names, scratch.limits().len());
+        let _ = writeln!(out, "{} of {} rules apply to it; together they set:", ruling.matched, set.len());
+        write_policy(&mut out, &ruling, &names, scratch.limits().len());
     }
-    let _ = writeln!(out, "cost: {steps} steps, the bound is {} (dearest: {})", set.price(), set.dearest());
+    let _ = writeln!(
+        out,
+        "cost: {steps} steps, the bound is {} (most expensive rule: {})",
+        set.price(),
+        set.dearest()
+    );
     Ok(out)
 }
 
-fn said(out: &mut String, ruling: &yarrowspoke_expr::ruling::Ruling, names: &Names, limits: usize) {
-    let r = &ruling.ruled;
+fn write_policy(out: &mut String, ruling: &yarrowspoke_expr::ruling::Ruling, names: &Names, limits: usize) {
+    let policy = &ruling.ruled;
     let seconds = |us: u64| format!("{:.3} s", us as f64 / 1e6);
     let name = |all: &[String], n: usize| all.get(n).cloned().unwrap_or_else(|| n.to_string());
     let lines = [
-        r.refuse_with_retry_after.map(|us| format!("refused, to come back after {}", seconds(us))),
-        r.at_most_once.then(|| "never sent again once it may have run".to_owned()),
-        r.max_attempts.map(|n| format!("at most {n} attempts")),
-        r.value_class
-            .map(|c| format!("counts with the aim and worth of class {}", name(&names.classes, c.into()))),
+        policy.refuse_with_retry_after.map(|us| format!("refused, retry after {}", seconds(us))),
+        policy.at_most_once.then(|| "at most once: never sent again if it may have run".to_owned()),
+        policy.max_attempts.map(|n| format!("at most {n} attempts")),
+        policy.value_class.map(|c| {
+            format!("uses the latency target and worth of class {}", name(&names.classes, c.into()))
+        }),
         ruling.tenant.map(|t| format!("counts for tenant {}", name(&names.tenants, t as usize))),
-        r.hash_key.map(|s| format!("subject {s:016x}")),
-        r.preferred_zone.map(|z| format!("prefers zone {}", name(&names.zones, z.into()))),
-        r.preferred_kind.map(|k| format!("prefers machines of kind {}", name(&names.kinds, k.into()))),
-        ruling.budget.map(|us| format!("waits {} at the most", seconds(us))),
-        (limits > 0).then(|| format!("under {limits} limits")),
+        policy.hash_key.map(|s| format!("subject {s:016x}")),
+        policy.preferred_zone.map(|z| format!("prefers zone {}", name(&names.zones, z.into()))),
+        policy.preferred_kind.map(|k| format!("prefers machines of kind {}", name(&names.kinds, k.into()))),
+        ruling.budget.map(|us| format!("budget at most {}", seconds(us))),
+        (limits > 0).then(|| format!("subject to {limits} limits")),
     ];
     let lines: Vec<String> = lines.into_iter().flatten().collect();
     if lines.is_empty() {
-        let _ = writeln!(out, "    (names are bound with --config)");
+        let _ = writeln!(out, "    (names are resolved only with --config)");
     }
     for line in lines {
         let _ = writeln!(out, "    {line}");
     }
 }
 
-/// Class and tenant that a request names.
-fn named_in(bytes: &[u8]) -> Names {
+/// Returns the names of the class and tenant that a request states.
+fn names_in_request(bytes: &[u8]) -> Names {
     let text = String::from_utf8_lossy(bytes);
     let target = text.split_whitespace().nth(1).unwrap_or("/");
     let class = target.trim_start_matches('/').split(['/', '?']).next().unwrap_or("");
--- a/crates/yarrowspoke-front/tests/rules.rs
+++ b/crates/yarrowspoke-front/tests/rules.rs
@@ -186,7 +186,7 @@
         "segments[1].orValue('') == 'live'  =  true",
         "budget < 1s  =  true",
         "rule app: holds",
-        "2 of 3 rules count for it",
+        "2 of 3 rules apply to it",
         "at most 1 attempts",
         "prefers zone a",
         "steps, the bound is",
@@ -196,7 +196,7 @@
     assert!(!told.contains("rule never"), "{told}");
     let all = common::run_program(&[&args[..], &["--all"]].concat());
     let told = String::from_utf8_lossy(&all.stdout).into_owned();
-    assert!(told.contains("rule never: does not hold, and was not looked at"), "{told}");
+    assert!(told.contains("rule never: does not hold, and was not evaluated"), "{told}");
     let cut = common::temp_file("cut", "GET /article HTTP/1.1\r\nX-Call-Id: 1\r\n");
     let out = common::run_program(&["explain", file.to_str().unwrap(), "--request", cut.to_str().unwrap()]);
     assert!(!out.status.success() && String::from_utf8_lossy(&out.stderr).contains("cut short"), "{out:?}");
