--- a/crates/yarrowspoke-front/src/cli.rs
+++ b/crates/yarrowspoke-front/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: serving, and what can be asked without serving.
+//! The command line: the subcommands and their arguments, and the commands `check` and `power`.
 
 use crate::{classify, config};
 use clap::{Args, Parser, Subcommand};
@@ -20,297 +20,297 @@
     about = "Shifts calls between an old and a new build of a server fleet"
 )]
 pub struct Cli {
-    /// What to do; serves if none
+    /// Command to run; without one the front serves
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// What the program can do.
+/// Commands of the program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Serve by the configuration that PROXY_CONFIG names
+    /// Serve, with the configuration file that PROXY_CONFIG names
     Serve {
-        /// The operator's file
+        /// Operator's file
         #[arg(long)]
         operator: Option<PathBuf>,
     },
-    /// Check an operator's file and tell every fault with its place
+    /// Check an operator's file and report every fault with its line and column
     Check {
-        /// The operator's file
+        /// Operator's file
         file: PathBuf,
-        /// Hold names in it against the settings of this configuration
+        /// Check names in the file against the settings of this configuration
         #[arg(long)]
         config: Option<PathBuf>,
-        /// Warn where the stated rates can't be honoured in such a fleet
+        /// Warn if the stated error rates can't be met in a fleet of this size
         #[command(flatten)]
         fleet: FleetSize,
     },
-    /// Tell which faults can be found within a stage at the stated rates, and which can't
+    /// Print which faults can be detected within a stage at the stated error rates, and which can't
     Power {
-        /// The operator's file
+        /// Operator's file
         file: PathBuf,
-        /// The fleet
+        /// Size of the fleet
         #[command(flatten)]
         fleet: FleetSize,
     },
-    /// Run a planner: gathers what the fronts of a fleet report, grants leases, reconciles stragglers or quarantines them
+    /// Run a planner: collects the reports of a fleet's fronts, grants leases, and reconciles or quarantines stragglers
     Planner {
-        /// Its name among the members
+        /// Name of this planner among the members of the fleet
         #[arg(long)]
         name: String,
-        /// The operator's file, with a section fleet
+        /// Operator's file, with a section fleet
         #[arg(long)]
         operator: PathBuf,
-        /// A directory of its own for the reports; without one they are gone with the process
+        /// Directory for this planner's reports; without one they are lost when the process ends
         #[arg(long)]
         dir: Option<PathBuf>,
-        /// The directory is new, and this planner never took part in an agreement: it may do so now
+        /// Join the replicated log with an empty directory; only for a planner that has never taken part in it before
         #[arg(long)]
         found: bool,
     },
-    /// Ask what a planner knows of its fleet
+    /// Query a planner about its fleet, or send it an order
     Fleet {
-        /// What to do
+        /// Command to run
         #[command(subcommand)]
         what: FleetCommand,
     },
-    /// Look into a store's directory while no front has it open
+    /// Inspect a store's directory while no front has it open
     Store {
-        /// What to do
+        /// Command to run
         #[command(subcommand)]
         what: StoreCommand,
     },
-    /// Tell what the rules of an operator's file make of one request, and why
+    /// Print how the rules of an operator's file classify one request, and why
     Explain {
-        /// The operator's file
+        /// Operator's file
         file: PathBuf,
-        /// The request, as bytes of HTTP/1.1
+        /// File with the request, as bytes of HTTP/1.1
         #[arg(long)]
         request: PathBuf,
-        /// Bind names to the settings of this configuration
+        /// Bind names in the rules to the settings of this configuration
         #[arg(long)]
         config: Option<PathBuf>,
-        /// Tell of every rule, those that were not looked at included
+        /// Print every rule, including those that were not evaluated
         #[arg(long)]
         all: bool,
     },
 }
 
-/// What can be done with a store.
+/// Commands on a store.
 #[derive(Debug, Subcommand)]
 pub enum StoreCommand {
-    /// Tell what is in it: records, requests without an end, the list kept
+    /// Print its contents: number of records, requests with unknown outcome, the stored list of machines
     Inspect {
-        /// The directory
+        /// Directory of the store
         dir: PathBuf,
     },
-    /// Read and check everything; exit status 1 if a front would refuse it
+    /// Read and check all of it; the exit status is 1 if a front would refuse it
     Verify {
-        /// The directory
+        /// Directory of the store
         dir: PathBuf,
     },
-    /// Give back what its file holds of forgotten records
+    /// Release the file space of expired records
     Compact {
-        /// The directory
+        /// Directory of the store
         dir: PathBuf,
     },
 }
 
-/// What can be asked of a fleet.
+/// Commands on a fleet.
 #[derive(Debug, Subcommand)]
 pub enum FleetCommand {
-    /// Who is there, on what, how old, since when behind
+    /// Print each front with its version, its last heartbeat and since when it has been stale
     Status {
-        /// A planner's address
+        /// Address of a planner
         #[arg(long)]
         at: SocketAddr,
         /// Print one JSON object
         #[arg(long)]
         json: bool,
     },
-    /// Which front acted on which version when, and what of that is unknown
+    /// Print which front acted on which version when, and for which times that is unknown
     Audit {
-        /// Where the record is
+        /// Where to read the record
         #[command(flatten)]
         from: RecordSource,
-        /// What of it
+        /// Which part of it
         #[command(flatten)]
         asked: RecordFilter,
         /// Print one JSON object
         #[arg(long)]
         json: bool,
     },
-    /// Order a front out of service; it goes once a permit is agreed on
+    /// Order a front out of service; it leaves once its permit has been decided
     Out {
-        /// The planner that is told, and in whose name
+        /// Planner that receives the order, and on whose behalf
         #[command(flatten)]
         at: OrderArgs,
-        /// The front
+        /// Name of the front
         front: String,
-        /// Why
+        /// Reason
         #[arg(long)]
         cause: String,
     },
     /// Order a front back into service
     In {
-        /// The planner that is told, and in whose name
+        /// Planner that receives the order, and on whose behalf
         #[command(flatten)]
         at: OrderArgs,
-        /// The front
+        /// Name of the front
         front: String,
     },
-    /// Nothing new goes out from now on; who is out may come back
+    /// Grant no further permits; fronts that are out of service may still return
     Halt {
-        /// The planner that is told, and in whose name
+        /// Planner that receives the order, and on whose behalf
         #[command(flatten)]
         at: OrderArgs,
-        /// Why
+        /// Reason
         #[arg(long)]
         why: String,
     },
     /// Lift a halt
     Resume {
-        /// The planner that is told, and in whose name
+        /// Planner that receives the order, and on whose behalf
         #[command(flatten)]
         at: OrderArgs,
     },
-    /// Take a permit from a front that will not come back
+    /// Withdraw the permit of a front that will not return
     Free {
-        /// The planner that is told, and in whose name
+        /// Planner that receives the order, and on whose behalf
         #[command(flatten)]
         at: OrderArgs,
-        /// The front
+        /// Name of the front
         front: String,
-        /// The permit's number, as `permits` tells it
+        /// Number of the permit, as `permits` prints it
         #[arg(long)]
         number: u64,
     },
-    /// Who may be out, who waits, who is lost, and whether there is a halt
+    /// Print which fronts hold a permit, which wait for one, which are unreachable, and whether there is a halt
     Permits {
-        /// A planner's address
+        /// Address of a planner
         #[arg(long)]
         at: SocketAddr,
         /// Print one JSON object
         #[arg(long)]
         json: bool,
     },
-    /// Check the record in a planner's directory; exit status 1 if anything contradicts or cannot be read
+    /// Check the record in a planner's directory; the exit status is 1 if it has contradictions or can't be read
     Verify {
-        /// The directory
+        /// Directory of the store
         dir: PathBuf,
     },
 }
 
-/// Who is given an order.
+/// Planner that receives an order, and on whose behalf.
 #[derive(Clone, Debug, Args)]
 pub struct OrderArgs {
-    /// A planner's address
+    /// Address of a planner
     #[arg(long)]
     pub at: SocketAddr,
-    /// In whose name
+    /// On whose behalf the order is given
     #[arg(long)]
     pub by: String,
-    /// Refuse it if more than so many orders have been followed
+    /// Refuse the order if more than this number of orders have been applied
     #[arg(long)]
     pub knows: Option<u64>,
 }
 
-/// Where a record is.
+/// Source of a record.
 #[derive(Clone, Debug, Args)]
 #[group(required = true, multiple = false)]
 pub struct RecordSource {
-    /// A planner's address
+    /// Address of a planner
     #[arg(long)]
     pub at: Option<SocketAddr>,
-    /// The directory of a planner that does not run
+    /// Directory of a planner that is not running
     #[arg(long)]
     pub dir: Option<PathBuf>,
 }
 
-/// What part of a record is asked for.
+/// Selects a part of a record.
 #[derive(Clone, Debug, Args)]
 pub struct RecordFilter {
     /// Only this front
     #[arg(long)]
     pub front: Option<String>,
-    /// Only spans on this index of the list
+    /// Only spans on this version of the list
     #[arg(long)]
     pub version: Option<u64>,
     /// Only from this Unix time on, in seconds, by the fronts' wall clocks
     #[arg(long)]
     pub from: Option<f64>,
-    /// Only up to this one
+    /// Only up to this Unix time
     #[arg(long)]
     pub to: Option<f64>,
 }
 
-/// A fleet, as far as it decides what can be found.
+/// Properties of a fleet that determine which faults can be detected.
 #[derive(Clone, Copy, Debug, Args)]
 pub struct FleetSize {
-    /// Fronts
+    /// Number of fronts
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u32).range(1..=100_000))]
     pub fronts: u32,
-    /// Votes that send a build back
+    /// Votes required to roll a build back
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..=100_000))]
     pub votes: u32,
-    /// Requests a second of the whole fleet
+    /// Requests per second of the whole fleet
     #[arg(long, default_value_t = 300.0)]
     pub requests: f64,
-    /// Seconds for which a stage lasts once its machines run
+    /// Duration of a stage in seconds, counted from when its machines run
     #[arg(long, default_value_t = 3.0)]
     pub stage: f64,
-    /// Machines
+    /// Number of machines
     #[arg(long, default_value_t = 16, value_parser = clap::value_parser!(u32).range(1..=1_000_000))]
     pub machines: u32,
 }
 
-/// What was asked for, as text, and whether it is well.
+/// Output of a command.
 pub struct CommandOutput {
-    /// What to print.
+    /// Text to print.
     pub text: String,
-    /// The file is right.
+    /// Whether the command succeeded: a checked file is valid, an order was carried out.
     pub success: bool,
 }
 
-/// Checks a file; what can't be honoured is a warning, no fault.
+/// Checks an operator's file. Error rates that can't be met are a warning and not a fault.
 pub fn check(file: &Path, config: Option<&Path>, fleet: &FleetSize) -> CommandOutput {
-    let wrong = |e: String| CommandOutput { text: format!("{e}\n"), success: false };
+    let failure = |e: String| CommandOutput { text: format!("{e}\n"), success: false };
     let config = match config.map(config::load).transpose() {
         Ok(config) => config,
-        Err(e) => return wrong(e.to_string()),
+        Err(e) => return failure(e.to_string()),
     };
     match yarrowspoke_operator::load(file) {
-        Err(e) => wrong(e.to_string()),
+        Err(e) => failure(e.to_string()),
         Ok(mut operator) => {
             let path = file.display().to_string();
             if let (Some(rules), Some(config)) = (&mut operator.rules, &config) {
                 if let Err(faults) = rules.bind(&classify::rule_context(&config.settings)) {
-                    return wrong(OperatorError::Faults { path, faults }.to_string());
+                    return failure(OperatorError::Faults { path, faults }.to_string());
                 }
             }
-            let mut text = format!("{path}: right\n");
+            let mut text = format!("{path}: valid\n");
             if let Some(rules) = &operator.rules {
-                told_of_rules(&mut text, &path, rules);
+                write_rules_summary(&mut text, &path, rules);
             }
             if let Some(section) = &operator.fleet {
                 let (fronts, planners) = (section.fleet.fronts().count(), section.fleet.planners().count());
                 let _ = writeln!(
                     text,
-                    "fleet: {fronts} fronts, {planners} planners, at most {} out",
+                    "fleet: {fronts} fronts, {planners} planners, at most {} out of service",
                     section.fleet.most_out.of(fronts)
                 );
                 for (line, column, warning) in &section.warnings {
                     let _ = writeln!(text, "warning: {path}:{line}:{column}: {warning}");
                 }
             }
-            let rows = if operator.verdicts.is_some() { rows(&operator, fleet) } else { vec![] };
-            for row in rows.iter().filter(|r| r.counts && !r.found_in_time()) {
+            let rows = if operator.verdicts.is_some() { detection_rows(&operator, fleet) } else { vec![] };
+            for row in rows.iter().filter(|r| r.is_in_scope && !r.detected_in_time()) {
                 let _ = writeln!(
                     text,
-                    "warning: {} can't be found within a stage's {} s: {}",
+                    "warning: {} can't be detected within a stage of {} s: {}",
                     row.fault,
                     fleet.stage,
-                    row.said()
+                    row.requirement()
                 );
             }
             CommandOutput { text, success: true }
@@ -318,12 +318,12 @@
     }
 }
 
-fn told_of_rules(text: &mut String, path: &str, rules: &Rules) {
+fn write_rules_summary(text: &mut String, path: &str, rules: &Rules) {
     let (set, (patterns, automata)) = (&rules.set, rules.set.regexes());
     let _ = writeln!(
         text,
-        "rules: {}, at most {} steps a request of {} allowed (dearest: {}); {} bytes of {}, {patterns} patterns of \
-         {automata} bytes among them; {} looked at for every request; {} keys of limits",
+        "rules: {}, at most {} steps a request of {} allowed (most expensive rule: {}); {} bytes of {}, {patterns} patterns of \
+         {automata} bytes among them; {} evaluated for every request; {} keys of limits",
         set.len(),
         set.price(),
         set.bounds().steps,
@@ -338,109 +338,115 @@
     }
 }
 
-/// Tells what can be found.
+/// Prints which faults can be detected in a fleet of this size.
 pub fn power(file: &Path, fleet: &FleetSize) -> CommandOutput {
     let operator = match yarrowspoke_operator::load(file) {
         Err(e) => return CommandOutput { text: format!("{e}\n"), success: false },
         Ok(operator) => operator,
     };
-    let v = operator.verdicts.unwrap_or(DEFAULT_ERROR_RATES);
+    let rates = operator.verdicts.unwrap_or(DEFAULT_ERROR_RATES);
     let mut text = format!(
-        "{} fronts, {} votes, {} requests a second, {} machines; false alarms {}, misses {}\n\
-         expected, for a fault that begins with the build; half of the builds take longer\n\n",
-        fleet.fronts, fleet.votes, fleet.requests, fleet.machines, v.false_rollback, v.missed_fault
+        "{} fronts, {} votes, {} requests a second, {} machines; false rollbacks {}, missed faults {}\n\
+         expected time or number of machines for a fault that begins with the build; half of the builds take longer\n\n",
+        fleet.fronts, fleet.votes, fleet.requests, fleet.machines, rates.false_rollback, rates.missed_fault
     );
-    for row in rows(&operator, fleet) {
-        let mark = if row.found_in_time() { "within a stage" } else { "not within a stage" };
-        let _ = writeln!(text, "{:<44} {:<34} {mark}", row.fault, row.said());
+    for row in detection_rows(&operator, fleet) {
+        let note = if row.detected_in_time() { "within a stage" } else { "not within a stage" };
+        let _ = writeln!(text, "{:<44} {:<34} {note}", row.fault, row.requirement());
     }
     CommandOutput { text, success: true }
 }
 
-struct Row {
+/// A fault of a certain size, and what is required to detect it.
+struct DetectionRow {
     fault: String,
-    /// It is of the stated size or above.
-    counts: bool,
+    /// Whether the fault has the stated size or more.
+    is_in_scope: bool,
     seconds: Option<f64>,
-    /// Machines of the build that are needed, if any number does, and those that are there.
+    /// Number of machines of the build that are required, `None` if no number is enough, and how many there are.
     machines: Option<(Option<usize>, u32)>,
-    limit: f64,
+    stage_seconds: f64,
 }
 
-impl Row {
-    fn found_in_time(&self) -> bool {
+impl DetectionRow {
+    fn detected_in_time(&self) -> bool {
         match self.machines {
-            Some((needed, there)) => needed.is_some_and(|n| n <= there as usize),
-            None => self.seconds.is_some_and(|s| s <= self.limit),
+            Some((required, present)) => required.is_some_and(|n| n <= present as usize),
+            None => self.seconds.is_some_and(|s| s <= self.stage_seconds),
         }
     }
 
-    fn said(&self) -> String {
+    fn requirement(&self) -> String {
         match (self.machines, self.seconds) {
-            (Some((Some(needed), there)), _) => format!("{needed} machines of it, {there} there"),
-            (Some((None, there)), _) => format!("too few earlier machines, {there} there"),
+            (Some((Some(required), present)), _) => format!("{required} machines of it, {present} present"),
+            (Some((None, present)), _) => format!("too few old machines, {present} present"),
             (None, Some(s)) => format!("{s:.1} s"),
-            (None, None) => "never by this front's evidence".to_owned(),
+            (None, None) => "never from this front's evidence".to_owned(),
         }
     }
 }
 
-/// Parts of the fleet that the stages give to a build, as examples of an early and a late one.
-const PARTS: [f64; 2] = [0.08, 0.6];
+/// Shares of the fleet that a build has in a stage: an example of an early and one of a late stage.
+const STAGE_SHARES: [f64; 2] = [0.08, 0.6];
 
-fn rows(operator: &Operator, fleet: &FleetSize) -> Vec<Row> {
-    let v: ErrorRates = operator.verdicts.unwrap_or(DEFAULT_ERROR_RATES);
-    let settings = module_settings(v, fleet);
+fn detection_rows(operator: &Operator, fleet: &FleetSize) -> Vec<DetectionRow> {
+    let rates: ErrorRates = operator.verdicts.unwrap_or(DEFAULT_ERROR_RATES);
+    let settings = module_settings(rates, fleet);
     let (design, alarms) = judge_design(&settings);
     let spent = -(design.weights[3] * (1.0 - design.onsets.weights.0 - design.onsets.weights.1)).ln()
         + (design.effects.len() as f64).ln();
-    let mut out = vec![];
-    for part in PARTS {
-        for fault in
-            [v.min_failure_increase / 2.0, v.min_failure_increase, 2.0 * v.min_failure_increase, 0.25, 0.6]
-        {
-            let beside = (1.0 - part) / part;
-            let needed =
-                outcomes_needed(fault, design.failure_floor, &design.effects, beside, alarms[0] + spent);
-            let each = fleet.requests / f64::from(fleet.fronts) * part;
-            out.push(Row {
+    let mut rows = vec![];
+    for share in STAGE_SHARES {
+        for fault in [
+            rates.min_failure_increase / 2.0,
+            rates.min_failure_increase,
+            2.0 * rates.min_failure_increase,
+            0.25,
+            0.6,
+        ] {
+            let old_to_new = (1.0 - share) / share;
+            let required =
+                outcomes_needed(fault, design.failure_floor, &design.effects, old_to_new, alarms[0] + spent);
+            let front_rate = fleet.requests / f64::from(fleet.fronts) * share;
+            rows.push(DetectionRow {
                 fault: format!(
-                    "fails {:.1} % more, on {:.0} % of places",
+                    "fails {:.1} % more, on {:.0} % of machines",
                     100.0 * raised_share(0.0, fault),
-                    100.0 * part
+                    100.0 * share
                 ),
-                counts: fault >= v.min_failure_increase,
-                seconds: needed.map(|n| n / each),
+                is_in_scope: fault >= rates.min_failure_increase,
+                seconds: required.map(|n| n / front_rate),
                 machines: None,
-                limit: fleet.stage,
+                stage_seconds: fleet.stage,
             });
         }
-        for times in [v.min_slowdown, 2.0 * v.min_slowdown] {
-            let there = (f64::from(fleet.machines) * part).floor().max(1.0) as u32;
-            let world = Fleet {
+        for slowdown in [rates.min_slowdown, 2.0 * rates.min_slowdown] {
+            let present = (f64::from(fleet.machines) * share).floor().max(1.0) as u32;
+            let sample = Fleet {
                 tolerance: design.slowdown.0,
                 spread: design.pace.spread,
-                earlier: (f64::from(fleet.machines) - f64::from(there)).max(2.0),
+                earlier: (f64::from(fleet.machines) - f64::from(present)).max(2.0),
                 faulty_one_in: design.faulty_one_in,
             };
-            let needed = machines_needed(times, world, (-alarms[2]).exp() / 2.0, v.missed_fault, 10_000);
-            out.push(Row {
-                fault: format!("{times:.2} times as slow, on {:.0} % of places", 100.0 * part),
-                counts: true,
+            let required =
+                machines_needed(slowdown, sample, (-alarms[2]).exp() / 2.0, rates.missed_fault, 10_000);
+            rows.push(DetectionRow {
+                fault: format!("{slowdown:.2} times as slow, on {:.0} % of machines", 100.0 * share),
+                is_in_scope: true,
                 seconds: None,
-                machines: Some((needed, there)),
-                limit: fleet.stage,
+                machines: Some((required, present)),
+                stage_seconds: fleet.stage,
             });
         }
     }
-    out
+    rows
 }
 
-fn module_settings(v: ErrorRates, fleet: &FleetSize) -> Settings {
+fn module_settings(rates: ErrorRates, fleet: &FleetSize) -> Settings {
     let mut settings = yarrowspoke_settings::from_value(&serde_json::json!({}))
         .map(|s| s.module)
-        .expect("settings of which nothing is said are readable");
+        .expect("empty settings can be read");
     (settings.fronts, settings.release.rollback_votes, settings.error_rates) =
-        (fleet.fronts, fleet.votes, Some(v));
+        (fleet.fronts, fleet.votes, Some(rates));
     settings
 }
