--- a/crates/yarrowspoke-front/src/fleet_member.rs
+++ b/crates/yarrowspoke-front/src/fleet_member.rs
@@ -20,11 +20,11 @@
 use std::sync::OnceLock;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use yarrowspoke::interface::{Build, ListUpdate, MachineId, MachineState, Micros, Phase, RolloutStatus};
-use yarrowspoke_fleet::front::{Change, FrontSide, TakenAway};
+use yarrowspoke_fleet::front::{FrontSide, ResponseEffect, Restrictions};
 use yarrowspoke_fleet::settings::Fleet;
 use yarrowspoke_fleet::span::Stance;
-use yarrowspoke_fleet::version::{self, digest, Source, Version};
-use yarrowspoke_fleet::wire::{decode_listing, encode_listing, Answer};
+use yarrowspoke_fleet::version::{self, digest, ListSource, Version};
+use yarrowspoke_fleet::wire::{decode_with_list, encode_with_list, HeartbeatResponse};
 
 /// Minimum time between two refreshes of the front's own sources because the front is stale.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(2);
@@ -68,9 +68,9 @@
     PHASES.iter().position(|p| *p == phase).unwrap_or(0) as u8
 }
 
-fn fleet_status(status: &RolloutStatus) -> version::News {
+fn fleet_status(status: &RolloutStatus) -> version::RolloutStatus {
     let cap = (status.cap.clamp(0.0, 1.0) * 1e6).round() as u32;
-    version::News { build: status.build, stage: status.stage, phase: phase_code(status.phase), cap }
+    version::RolloutStatus { build: status.build, stage: status.stage, phase: phase_code(status.phase), cap }
 }
 
 /// A front's membership in a fleet.
@@ -82,9 +82,9 @@
     /// State and build of each machine as last passed to the module.
     passed_on: RefCell<BTreeMap<MachineId, (MachineState, Build)>>,
     /// Restrictions that were applied to that.
-    restrictions: Cell<Option<TakenAway>>,
+    restrictions: Cell<Option<Restrictions>>,
     own_status: Cell<Option<RolloutStatus>>,
-    passed_on_status: Cell<Option<version::News>>,
+    passed_on_status: Cell<Option<version::RolloutStatus>>,
     refreshed_at: Cell<Option<Instant>>,
     stance: Cell<Stance>,
     retry_after: Micros,
@@ -101,8 +101,8 @@
         max_retry_after: Micros,
     ) -> Rc<Self> {
         let (config, operator, settings) = digests;
-        let list = version::List { index: 0, source: Source::Held, epoch: 0, digest: 0 };
-        let version = Version { list, news: None, config, operator, settings, program: program_digest() };
+        let list = version::List { index: 0, source: ListSource::Cached, epoch: 0, digest: 0 };
+        let version = Version { list, rollout: None, config, operator, settings, program: program_digest() };
         let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |d| d.as_micros() as u64);
         let retry_after = fleet.back_after.max(fleet.renew).min(max_retry_after);
         Rc::new(Self {
@@ -133,7 +133,7 @@
     /// Returns whether a new request may be accepted now. This is checked for each request, since a process that was
     /// suspended resumes with an expired lease.
     pub fn accepts_requests(&self) -> bool {
-        self.side.borrow().takes(self.now())
+        self.side.borrow().admits_requests(self.now())
     }
 
     /// Returns the Retry-After of requests that are not accepted.
@@ -148,27 +148,27 @@
 
     /// Returns whether nothing may be sent to this machine now, even if the module does not know of that yet.
     pub fn excludes(&self, machine: MachineId, build: Build) -> bool {
-        self.side.borrow().leaves_out(self.now(), machine, build)
+        self.side.borrow().excludes(self.now(), machine, build)
     }
 
     /// Records that a request was accepted.
     pub fn record_request(&self) {
-        self.side.borrow_mut().recorder().taken();
+        self.side.borrow_mut().recorder().record_admitted();
     }
 
     /// Records that an attempt was sent.
     pub fn record_attempt(&self, machine: MachineId, build: Build) {
-        self.side.borrow_mut().recorder().attempt(machine, build);
+        self.side.borrow_mut().recorder().record_attempt(machine, build);
     }
 
     /// Records that a vote was cast.
     pub fn record_vote(&self) {
-        self.side.borrow_mut().recorder().vote();
+        self.side.borrow_mut().recorder().record_vote();
     }
 
     /// Records that a request was refused or failed.
     pub fn record_shed_request(&self) {
-        self.side.borrow_mut().recorder().given_up();
+        self.side.borrow_mut().recorder().record_failed();
     }
 
     /// Handles an update of the list from the front's own sources and returns the rows to pass to the module instead.
@@ -193,8 +193,8 @@
             }
             let ready = listed().filter(|r| r.entry.state == MachineState::Ready);
             let ready = ready.map(|r| (r.entry.machine, r.entry.build)).collect();
-            let source = if kind == ListUpdate::Cached { Source::Held } else { Source::Discovery };
-            self.side.borrow_mut().listed(self.clocks(), (index, digest(&encoded)), source, ready);
+            let source = if kind == ListUpdate::Cached { ListSource::Cached } else { ListSource::Discovery };
+            self.side.borrow_mut().list_received(self.clocks(), (index, digest(&encoded)), source, ready);
         }
         // Every row of the update has to be passed on, even one that looks the same as before.
         for row in &rows {
@@ -210,7 +210,7 @@
 
     /// Returns whether the restrictions have changed since the last call.
     fn restrictions_changed(&self) -> bool {
-        let present = Some(self.side.borrow().taken_away(self.now()));
+        let present = Some(self.side.borrow().restrictions(self.now()));
         self.restrictions.replace(present) != present
     }
 
@@ -230,7 +230,7 @@
         let mut out = Vec::new();
         for row in rows {
             let (machine, build, mut state) = (row.entry.machine, row.entry.build, row.entry.state);
-            if state == MachineState::Ready && side.leaves_out(now, machine, build) {
+            if state == MachineState::Ready && side.excludes(now, machine, build) {
                 state = MachineState::Draining;
             }
             if passed_on.insert(machine, (state, build)) != Some((state, build)) {
@@ -243,8 +243,8 @@
     }
 
     fn restricted_status(&self, status: RolloutStatus) -> RolloutStatus {
-        match self.side.borrow().narrower_news() {
-            Some(narrower) if narrower.narrows(&fleet_status(&status)) => {
+        match self.side.borrow().restricting_rollout() {
+            Some(narrower) if narrower.is_narrower_than(&fleet_status(&status)) => {
                 let (phase, cap) =
                     (PHASES[usize::from(narrower.phase.min(3))], f64::from(narrower.cap) / 1e6);
                 RolloutStatus { phase, cap: cap.min(status.cap), ..status }
@@ -255,7 +255,7 @@
 
     /// Handles a rollout status from the front's own source and returns the one to pass to the module instead.
     pub fn apply_status(&self, status: RolloutStatus) -> RolloutStatus {
-        self.side.borrow_mut().told(self.clocks(), fleet_status(&status));
+        self.side.borrow_mut().rollout_received(self.clocks(), fleet_status(&status));
         self.own_status.set(Some(status));
         let status = self.restricted_status(status);
         self.passed_on_status.set(Some(fleet_status(&status)));
@@ -267,7 +267,8 @@
         let restricted =
             RolloutStatus { is_vote_reply: false, age: 0, ..self.restricted_status(self.own_status.get()?) };
         let present = fleet_status(&restricted);
-        let changed = self.passed_on_status.get().is_some_and(|passed_on| present.narrows(&passed_on));
+        let changed =
+            self.passed_on_status.get().is_some_and(|passed_on| present.is_narrower_than(&passed_on));
         changed.then(|| {
             self.passed_on_status.set(Some(present));
             log::warn!(build = present.build, phase:? = restricted.phase, cap = restricted.cap; "fleet: reconciled by planners");
@@ -278,9 +279,9 @@
     /// Applies files that were read again.
     pub fn reload(&self, digests: Digests, fleet: Option<Fleet>) {
         let mut side = self.side.borrow_mut();
-        side.reread(self.clocks(), digests);
+        side.files_reloaded(self.clocks(), digests);
         if let Some(fleet) = fleet {
-            side.restate(fleet);
+            side.replace_settings(fleet);
         }
     }
 
@@ -288,22 +289,23 @@
         let (now, wall) = self.clocks();
         let mut side = self.side.borrow_mut();
         if let Some(confirmed_at) = self.discovery.heard() {
-            side.confirmed(confirmed_at.saturating_duration_since(self.started).as_micros() as Micros);
+            side.list_confirmed(confirmed_at.saturating_duration_since(self.started).as_micros() as Micros);
         }
         side.tick(now, wall);
         let stance = side.stance(now);
         if self.stance.replace(stance) != stance {
-            let (list, kept) = (side.version().list.index, side.recorder().kept());
+            let (list, kept) = (side.version().list.index, side.recorder().retained());
             log::warn!(stance:?, list, kept; "fleet: membership state changed");
         }
     }
 
-    fn answered(&self, planner: usize, sent_at: Micros, answer: Answer) -> Change {
-        let change = self.side.borrow_mut().answered(planner, sent_at, self.now(), answer);
-        if self.has_duplicate.replace(change.twin) != change.twin && change.twin {
+    fn answered(&self, planner: usize, sent_at: Micros, answer: HeartbeatResponse) -> ResponseEffect {
+        let effect = self.side.borrow_mut().heartbeat_answered(planner, sent_at, self.now(), answer);
+        if self.has_duplicate.replace(effect.duplicate_name) != effect.duplicate_name && effect.duplicate_name
+        {
             log::error!("fleet: another process runs under this front's name");
         }
-        change
+        effect
     }
 
     /// Returns whether the front's own sources are due for another refresh, and records it if so.
@@ -353,28 +355,28 @@
         };
         let started = Instant::now();
         let sent_at = member.now();
-        let body = encode_listing(&mut member.side.borrow_mut().heartbeat(planner, sent_at));
+        let body = encode_with_list(&mut member.side.borrow_mut().heartbeat(planner, sent_at));
         let exchanged = exchange(&mut connection, address, ("POST", "/fleet/report"), &body);
         let reply = within((lease / 4).max(renew), exchanged).await;
         let answer = match reply {
-            Some(Ok(bytes)) => decode_listing::<Answer>(&bytes).map_err(|e| e.to_string()),
+            Some(Ok(bytes)) => decode_with_list::<HeartbeatResponse>(&bytes).map_err(|e| e.to_string()),
             Some(Err(LinkError::Status(status, why))) => Err(format!("refused with {status}: {why}")),
             Some(Err(e)) => {
-                member.side.borrow_mut().failed(planner, sent_at);
+                member.side.borrow_mut().heartbeat_failed(planner, sent_at);
                 Err(e.to_string())
             }
             None => {
-                member.side.borrow_mut().failed(planner, sent_at);
+                member.side.borrow_mut().heartbeat_failed(planner, sent_at);
                 Err("no answer in time".to_owned())
             }
         };
         match answer {
             Ok(answer) if answer.planner == name => {
-                let change = member.answered(planner, sent_at, answer);
-                if change.narrowed {
+                let effect = member.answered(planner, sent_at, answer);
+                if effect.restricted {
                     let _ = inputs.send(Input::RestrictionsChanged).await;
                 }
-                if change.again && member.starts_refresh() {
+                if effect.refetch && member.starts_refresh() {
                     let _ = inputs.send(Input::RefreshSources).await;
                 }
             }
@@ -403,7 +405,7 @@
         let now = member.now();
         let (due, renew) = {
             let mut side = member.side.borrow_mut();
-            (side.due(planner, now), side.fleet().renew)
+            (side.next_heartbeat_at(planner, now), side.fleet().renew)
         };
         if due <= now {
             return;
