--- a/crates/yarrowspoke-fleet/src/delta.rs
+++ b/crates/yarrowspoke-fleet/src/delta.rs
@@ -1,33 +1,35 @@
-//! Lists by snapshot and delta: a base that can be named, changes against it, and the check that what results is what was meant.
+//! Lists by snapshot and delta: a base that identifies a list, changes against it, and the check that the result is
+//! the intended list.
 
 use crate::mutant;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Steps back from which a delta can still be told.
-const STEPS: usize = 64;
+/// Number of recent changes of a list from which deltas can be computed.
+const RECENT_CHANGES: usize = 64;
 
-/// A list by name: both sides hold the same machines where they hold the same base.
+/// Identifies a list: two sides with the same base have the same machines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Base {
-    /// The list's epoch.
+    /// Epoch of the list.
     pub epoch: u32,
-    /// Its index; 0 = no list.
+    /// Index of the list; 0 = no list.
     pub index: u64,
-    /// Its digest, as fronts tell it.
+    /// Digest of the list, as fronts report it.
     pub digest: u64,
-    /// The sum over the machines that are ready on it.
+    /// Hash over the ready machines of the list.
     pub sum: MachineSetHash,
 }
 
 impl Base {
-    /// Whether it comes after another.
+    /// Returns whether this list comes after another.
     pub fn is_newer(&self, other: &Self) -> bool {
         (self.epoch, self.index) > (other.epoch, other.index)
     }
 }
 
-/// 128 bits over a set of machines, free of order: one machine more or less costs one hash, not all of them.
+/// A 128-bit hash over a set of machines that does not depend on their order: adding or removing one machine costs
+/// one hash and not a hash of all.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MachineSetHash(u128);
 
@@ -40,7 +42,7 @@
         u128::from_le_bytes(hash.as_bytes()[..16].try_into().unwrap_or_default())
     }
 
-    /// Over all of these.
+    /// Returns the hash over all of these machines.
     pub fn of_machines(machines: impl IntoIterator<Item = (u32, u16)>) -> Self {
         let mut sum = Self::default();
         machines.into_iter().for_each(|(m, b)| sum.add(m, b));
@@ -56,17 +58,17 @@
     }
 }
 
-/// Changes from one list to another.
+/// The changes from one list to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// Against this.
+    /// The list that the delta is based on.
     pub base: Base,
-    /// Gives this.
+    /// The resulting list.
     pub to: Base,
-    /// Fronts that hold the result from their own source.
+    /// How many fronts have the result from their own source.
     #[serde(rename = "vouched")]
     pub confirmations: u32,
-    /// Machines that are not ready any more, if they were.
+    /// Machines that are no longer ready, if they were.
     #[serde(rename = "gone")]
     pub removed: Vec<u32>,
     /// Machines that are ready, with their builds.
@@ -74,44 +76,44 @@
     pub updated: Vec<(u32, u16)>,
 }
 
-/// Why a delta was not applied. Nothing has changed then.
+/// Why a delta was rejected. A rejected delta changes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeltaError {
-    /// Another list is held than the one it is against.
+    /// The delta is based on another list than the one held.
     Base,
-    /// What results is not what its sender holds.
+    /// The result is not the list that the sender has.
     Digest,
 }
 
-/// A list of machines that are ready, and how it came about.
+/// A list of ready machines, with its recent changes.
 #[derive(Clone, Debug, Default)]
 pub struct MachineList {
     base: Base,
     machines: BTreeMap<u32, u16>,
-    /// The base before each step, and the machines that the step touched.
-    steps: VecDeque<(Base, Vec<u32>)>,
+    /// For each recent change, the base before it and the machines that it affected.
+    changes: VecDeque<(Base, Vec<u32>)>,
 }
 
 impl MachineList {
-    /// What it is.
+    /// Returns the base of the list.
     pub fn base(&self) -> Base {
         self.base
     }
 
-    /// The machines.
+    /// Returns the machines.
     pub fn machines(&self) -> &BTreeMap<u32, u16> {
         &self.machines
     }
 
-    fn step(&mut self, touched: Vec<u32>, to: Base) {
-        self.steps.push_back((self.base, touched));
-        if self.steps.len() > STEPS {
-            self.steps.pop_front();
+    fn record_change(&mut self, touched: Vec<u32>, to: Base) {
+        self.changes.push_back((self.base, touched));
+        if self.changes.len() > RECENT_CHANGES {
+            self.changes.pop_front();
         }
         self.base = to;
     }
 
-    /// A whole list in the place of this one.
+    /// Replaces the whole list.
     pub fn replace(&mut self, (epoch, index, digest): (u32, u64, u64), machines: BTreeMap<u32, u16>) {
         let mut sum = self.base.sum;
         let mut touched = Vec::new();
@@ -124,13 +126,15 @@
             touched.push(*machine);
         }
         self.machines = machines;
-        self.step(touched, Base { epoch, index, digest, sum });
+        self.record_change(touched, Base { epoch, index, digest, sum });
     }
 
-    /// What has changed since a base, if that is one of its own lately; `None` where only the whole will do.
+    /// Returns the changes since `base` if that is a recent state of this list; `None` if only the whole list will
+    /// do.
     pub fn delta_since(&self, base: &Base, confirmations: u32) -> Option<Delta> {
-        let from = self.steps.iter().position(|s| s.0 == *base)?;
-        let touched: BTreeSet<u32> = self.steps.iter().skip(from).flat_map(|s| s.1.iter().copied()).collect();
+        let from = self.changes.iter().position(|s| s.0 == *base)?;
+        let touched: BTreeSet<u32> =
+            self.changes.iter().skip(from).flat_map(|s| s.1.iter().copied()).collect();
         if 2 * touched.len() > self.machines.len().max(16) {
             return None;
         }
@@ -140,7 +144,7 @@
         Some(Delta { base: *base, to: self.base, confirmations, removed, updated })
     }
 
-    /// The sum and the builds that change, without changing anything.
+    /// Checks that a delta fits and gives the intended result, without changing anything.
     fn verify(&self, delta: &Delta) -> Result<(), DeltaError> {
         if mutant::active("delta-on-any-base") {
             return Ok(());
@@ -170,7 +174,8 @@
         }
     }
 
-    /// Takes a delta in: only against exactly the base it names, and only if what results is what its sender holds.
+    /// Applies a delta: only to exactly the base that it names, and only if the result is the list that the sender
+    /// has.
     pub fn apply(&mut self, delta: &Delta) -> Result<(), DeltaError> {
         self.verify(delta)?;
         for machine in &delta.removed {
@@ -178,11 +183,11 @@
         }
         self.machines.extend(delta.updated.iter().copied());
         let touched = delta.removed.iter().copied().chain(delta.updated.iter().map(|s| s.0)).collect();
-        self.step(touched, delta.to);
+        self.record_change(touched, delta.to);
         Ok(())
     }
 
-    /// The machines as they would be behind a delta, in order; this list stays as it is.
+    /// Returns the machines after a delta, sorted; this list stays as it is.
     pub fn machines_after(&self, delta: &Delta) -> Result<Vec<(u32, u16)>, DeltaError> {
         self.verify(delta)?;
         let mut machines = self.machines.clone();
--- a/crates/yarrowspoke-fleet/src/lib.rs
+++ b/crates/yarrowspoke-fleet/src/lib.rs
@@ -1,13 +1,16 @@
-//! Many copies of the program, together: who acted on which version, and how a straggler is reconciled or quarantined.
+//! State machines for a fleet of fronts and planners: which front acted on which version, and how a front that falls
+//! behind (a straggler) is reconciled or quarantined.
 //!
-//! Everything here is free of I/O, clocks and unseeded draws: times come in as microseconds on the caller's own monotonic
-//! clock, messages as values. [`version`] says what a front acts on and how two such compare, [`span`] what it notes of it,
-//! [`book`] how notes from everywhere become one, [`front`] and [`planner`] are the two sides of the ladder, and [`wire`]
-//! what passes between them.
+//! The crate does no I/O, reads no clock and draws no unseeded random numbers: times are passed in as microseconds on
+//! the caller's own monotonic clock, and messages as values. [`version`] defines what a front acts on and how two
+//! versions compare, [`span`] what a front records, [`report_log`] how reports from everywhere are merged, [`front`]
+//! and [`planner`] the two sides of the protocol, [`permits`] the state that planners agree on,
+//! [`heartbeat_schedule`] when heartbeats are due, and [`wire`] the messages.
 //!
-//! Three habits hold throughout. *Unknown is a value*: what was not heard is shown with its bounds. *Others may only narrow*:
-//! what a front hears from a planner takes something away; what gives more comes from the front's own sources. *A silent
-//! holder still holds*: a slot taken by a front that went silent stays counted until that front is seen in service.
+//! Three rules hold throughout. *Unknown is a value*: what was not received is shown, with its bounds. *Others may
+//! only restrict*: what a front receives from a planner takes permissions away; only the front's own sources add any.
+//! *A silent holder still holds*: a slot taken by a front that fell silent stays counted until that front is seen in
+//! service.
 
 pub mod audit;
 pub mod delta;
--- a/crates/yarrowspoke-fleet/src/mutant.rs
+++ b/crates/yarrowspoke-fleet/src/mutant.rs
@@ -1,10 +1,11 @@
-//! Deliberately broken fronts and planners. The rig's checker is itself tried on them: one that it lets pass is a fault of
-//! the checker. Without the feature `mutants`, as in every release build, none of them can be put on.
+//! Deliberately broken fronts and planners (mutants), on which the test rig's checker is itself tested: a mutant that
+//! it does not catch is a fault of the checker. Without the feature `mutants`, as in every release build, none can be
+//! enabled.
 
 #[cfg(feature = "mutants")]
-static ON: std::sync::OnceLock<String> = std::sync::OnceLock::new();
+static ENABLED: std::sync::OnceLock<String> = std::sync::OnceLock::new();
 
-/// Every mutant by name.
+/// The names of all mutants.
 pub const ALL: [&str; 15] = [
     "lease-unchecked",
     "merge-keeps-last",
@@ -23,21 +24,22 @@
     "spans-to-nobody",
 ];
 
-/// Puts one on for the rest of the process; false if there is none of this name, or this build has none.
+/// Enables a mutant for the rest of the process. Returns false if there is no mutant of this name, or if one is
+/// enabled already, or if this build has none.
 pub fn enable(name: &str) -> bool {
     #[cfg(feature = "mutants")]
     if ALL.contains(&name) {
-        return ON.set(name.to_owned()).is_ok();
+        return ENABLED.set(name.to_owned()).is_ok();
     }
     let _ = name;
     false
 }
 
-/// Whether this one is on.
+/// Returns whether this mutant is enabled.
 #[inline]
 pub(crate) fn active(name: &str) -> bool {
     #[cfg(feature = "mutants")]
-    return ON.get().is_some_and(|on| on == name);
+    return ENABLED.get().is_some_and(|enabled| enabled == name);
     #[cfg(not(feature = "mutants"))]
     {
         let _ = name;
@@ -45,7 +47,7 @@
     }
 }
 
-/// Whether this one is on; for the few that sit where messages are carried out.
+/// Returns whether this mutant is enabled, for mutants outside this crate, where messages are sent and received.
 pub fn is_active(name: &str) -> bool {
     active(name)
 }
--- a/crates/yarrowspoke-fleet/src/permits.rs
+++ b/crates/yarrowspoke-fleet/src/permits.rs
@@ -1,35 +1,37 @@
-//! What planners agree on: who may be out of service, within which limits, and whether anything may go out at all.
+//! The state that planners agree on: which fronts may be out of service, within which limits, and whether any front
+//! may go out at all.
 //!
-//! A deterministic machine: the same entries in the same order give the same state at every planner, whatever its own files and
-//! clocks say; so limits, and who is lost, come in as entries too. After RFC 0003: a *bracket* is a permit from its grant
-//! to its end, *resource concurrency* the limit on how many are open. A permit that was granted and not taken yet counts as
-//! open, and so does a front that is lost by itself: planned work waits for it.
+//! This is a deterministic state machine: the same entries in the same order give the same state at every planner,
+//! whatever its own files and clocks say. For that reason the limits and the lost fronts are entries too. The terms
+//! follow RFC 0003: a *bracket* is a permit from its grant to its end, and *resource concurrency* is the limit on how
+//! many are open. A permit that was granted and not yet taken up counts as open, and so does a front that is lost
+//! without a permit: planned work waits for it.
 
 use crate::mutant;
 use crate::settings::Limit;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Orders kept for operators to read.
-const HISTORY: usize = 128;
+/// Orders retained for operators to read.
+const OUTCOME_HISTORY_LEN: usize = 128;
 
-/// Who there is and how many may be out.
+/// The fronts, and how many of them may be out.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Fronts with their zones.
+    /// Zone of each front.
     pub fronts: BTreeMap<String, String>,
     /// How many planners are a majority.
     pub majority: usize,
-    /// Most out of all.
+    /// Most fronts out in all.
     #[serde(rename = "most")]
     pub max_out: usize,
-    /// Most out of each zone.
+    /// Most fronts out in each zone.
     #[serde(rename = "most_of_zone")]
     pub max_out_by_zone: BTreeMap<String, usize>,
 }
 
 impl Limits {
-    /// Those of a fleet's settings.
+    /// Computes the limits from a fleet's settings.
     pub fn from_settings(fleet: &crate::settings::Fleet) -> Self {
         let fronts: BTreeMap<String, String> =
             fleet.fronts().map(|m| (m.name.clone(), m.zone.clone())).collect();
@@ -47,35 +49,36 @@
     }
 }
 
-/// What an operator, or a desk in his name, orders.
+/// An order by an operator, or by a desk on an operator's behalf. The `Debug` text of an order is stored and shown to
+/// operators, so the names of variants and fields must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Order {
-    /// A front is to go out of service, for this cause; the incarnation meant is the one heard when it was ordered.
+    /// Takes a front out of service. The order applies to the incarnation that was live when it was given.
     Out {
-        /// The front.
+        /// Name of the front.
         front: String,
-        /// Its incarnation.
+        /// Incarnation of the front.
         incarnation: u64,
-        /// Why.
+        /// Why the front is to go out.
         cause: String,
     },
-    /// It is to come back.
+    /// Returns a front to service.
     In {
-        /// The front.
+        /// Name of the front.
         front: String,
     },
-    /// Nothing new goes out from now on.
+    /// Stops all further grants.
     Halt {
-        /// Why.
+        /// Why grants stop.
         why: String,
     },
-    /// The halt is lifted.
+    /// Lifts the halt.
     Resume,
-    /// The permit of a front that will not come back is taken from it by name.
+    /// Revokes the permit of a front that will not come back.
     Free {
-        /// The front.
+        /// Name of the front.
         front: String,
-        /// The permit meant.
+        /// Number of the permit to revoke.
         number: u64,
     },
 }
@@ -83,85 +86,85 @@
 /// An entry of the agreed log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Entry {
-    /// An order, by whom, with the count of orders that he knew; refused if that has moved.
+    /// An order, refused if the count of orders differs from the one that its author knew.
     Order {
-        /// What.
+        /// The order.
         order: Order,
-        /// In whose name.
+        /// The operator who gave it.
         by: String,
-        /// The count of orders known; `None` for those that no other order can spoil.
+        /// The count of orders known to the author; `None` for orders that no other order can invalidate.
         #[serde(rename = "knows")]
         known_orders: Option<u64>,
-        /// Names the order, so that whoever gave it finds what became of it.
+        /// Identifies the order, so that its author can find its outcome.
         ticket: u64,
     },
-    /// The limits from now on.
+    /// Replaces the limits.
     Limits(Limits),
-    /// Fronts that a planner does not hear.
+    /// The fronts that a planner finds lost.
     View {
-        /// The planner.
+        /// Name of the planner.
         planner: String,
-        /// The fronts.
+        /// Names of the fronts.
         lost: BTreeSet<String>,
     },
-    /// The holder takes its permit up.
+    /// The holder takes up its permit.
     Took {
-        /// The front.
+        /// Name of the front.
         front: String,
-        /// The permit.
+        /// Number of the permit.
         number: u64,
-        /// The incarnation that takes it.
+        /// The incarnation that takes it up.
         incarnation: u64,
     },
-    /// It is in service again, or has declined.
+    /// The holder is in service again, or has declined the permit.
     Done {
-        /// The front.
+        /// Name of the front.
         front: String,
-        /// The permit.
+        /// Number of the permit.
         number: u64,
     },
 }
 
-/// How far a permit is.
+/// Phase of a permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// It may be taken up.
+    /// The permit may be taken up.
     Granted,
-    /// Taken up: the front is out, or about to go.
+    /// The permit is taken up: the front is out, or about to go.
     Taken,
-    /// It is to come back.
+    /// The front is to return to service.
     Returning,
 }
 
-/// A permit to be out.
+/// A permit to be out of service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Permit {
-    /// Its number; none is given twice.
+    /// Number of the permit; none is granted twice.
     pub number: u64,
-    /// The incarnation of the front that it was given to.
+    /// The incarnation of the front that the permit was granted to.
     pub incarnation: u64,
-    /// How far it is.
+    /// Phase of the permit.
     pub phase: Phase,
-    /// Why.
+    /// Why the front is to go out.
     pub cause: String,
 }
 
 /// Why an order was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum Refusal {
-    /// Another order came before it.
+    /// Another order was given after the author looked at the state.
     #[error("planned on order {planned}, and {now} have been given: look again")]
     Moved {
-        /// What he knew.
+        /// Count of orders that the author knew.
         planned: u64,
-        /// What there is.
+        /// Count of orders given.
         now: u64,
     },
-    /// No such front.
+    /// There is no such front.
     #[error("no front {0}")]
     #[serde(rename = "Nobody")]
     UnknownFront(String),
-    /// It holds no permit, or not this one.
+    /// The front holds no permit, or not this one.
     #[error("{0} holds no such permit")]
     NoPermit(String),
 }
@@ -169,36 +172,36 @@
 /// The agreed state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PermitState {
-    /// Orders that were followed.
+    /// Count of orders that were carried out.
     pub orders: u64,
-    /// Why nothing new goes out, and who said so.
+    /// Why no permits are granted, and who ordered that.
     pub halted: Option<(String, String)>,
-    /// What waits, in the order in which it came: front, incarnation, cause.
+    /// Orders that wait for room, in order of arrival: front, incarnation, cause.
     #[serde(rename = "waits")]
     pub waiting: Vec<(String, u64, String)>,
     /// Permits by front.
     pub permits: BTreeMap<String, Permit>,
-    /// The last permit's number.
+    /// Number of the last permit granted.
     #[serde(rename = "last")]
     pub last_permit_number: u64,
     /// The limits.
     pub limits: Limits,
-    /// By planner, the fronts that it does not hear.
+    /// By planner, the fronts that it finds lost.
     pub views: BTreeMap<String, BTreeSet<String>>,
-    /// What became of orders lately, by ticket; and what they were, in words.
+    /// Outcomes of recent orders: ticket, refusal if any, and the order as text.
     pub outcomes: Vec<(u64, Option<Refusal>, String)>,
 }
 
 impl PermitState {
-    /// Fronts that a majority of planners does not hear.
+    /// Returns the fronts that a majority of planners finds lost.
     pub fn lost_fronts(&self) -> BTreeSet<&str> {
         let all = self.limits.fronts.keys().map(String::as_str);
-        let unheard =
+        let is_lost =
             |f: &&str| self.views.values().filter(|v| v.contains(*f)).count() >= self.limits.majority.max(1);
-        all.filter(unheard).collect()
+        all.filter(is_lost).collect()
     }
 
-    /// Whether one more front of this name may be out.
+    /// Returns whether this front may go out within the limits.
     fn has_room(&self, front: &str) -> bool {
         let (mut lost, limits) = (self.lost_fronts(), &self.limits);
         if mutant::active("unplanned-not-counted") {
@@ -216,16 +219,16 @@
     /// Applies an entry.
     pub fn apply(&mut self, entry: &Entry) {
         match entry {
-            // Given again because nobody answered in time: one deed.
+            // The author repeats an order if nobody answers in time; it is carried out only once.
             Entry::Order { ticket, .. } if self.outcomes.iter().any(|o| o.0 == *ticket) => {}
             Entry::Order { order, by, known_orders, ticket } => {
                 let refused = known_orders
                     .filter(|k| *k != self.orders)
                     .map(|planned| Refusal::Moved { planned, now: self.orders })
-                    .or_else(|| self.follow(order, by).err());
+                    .or_else(|| self.execute(order, by).err());
                 self.orders += u64::from(refused.is_none());
                 self.outcomes.push((*ticket, refused, format!("{by}: {order:?}")));
-                if self.outcomes.len() > HISTORY {
+                if self.outcomes.len() > OUTCOME_HISTORY_LEN {
                     self.outcomes.remove(0);
                 }
             }
@@ -233,9 +236,10 @@
             Entry::View { planner, lost } => drop(self.views.insert(planner.clone(), lost.clone())),
             Entry::Took { front, number, incarnation } => {
                 let permit = self.permits.get_mut(front);
-                if let Some(p) = permit.filter(|p| (p.number, p.incarnation) == (*number, *incarnation)) {
-                    if p.phase == Phase::Granted {
-                        p.phase = Phase::Taken;
+                if let Some(permit) = permit.filter(|p| (p.number, p.incarnation) == (*number, *incarnation))
+                {
+                    if permit.phase == Phase::Granted {
+                        permit.phase = Phase::Taken;
                     }
                 }
             }
@@ -248,13 +252,14 @@
         self.grant();
     }
 
-    fn follow(&mut self, order: &Order, by: &str) -> Result<(), Refusal> {
+    fn execute(&mut self, order: &Order, by: &str) -> Result<(), Refusal> {
         match order {
             Order::Out { front, incarnation, cause } => {
                 if !self.limits.fronts.contains_key(front) {
                     return Err(Refusal::UnknownFront(front.clone()));
                 }
-                // Asking twice is asking once; a later incarnation's wish takes the place of an earlier one's.
+                // Repeating an order has no effect; an order for a later incarnation replaces the one for an earlier
+                // incarnation.
                 self.waiting.retain(|w| w.0 != *front);
                 if !self.permits.contains_key(front) {
                     self.waiting.push((front.clone(), *incarnation, cause.clone()));
@@ -272,11 +277,12 @@
             }
             Order::Halt { why } => {
                 self.halted = Some((why.clone(), by.to_owned()));
-                // What was granted and not taken is taken back, and waits again.
-                let idle = self.permits.iter().filter(|p| p.1.phase == Phase::Granted);
-                let idle: Vec<_> = idle.map(|(f, p)| (f.clone(), p.incarnation, p.cause.clone())).collect();
-                idle.iter().for_each(|w| drop(self.permits.remove(&w.0)));
-                self.waiting.splice(0..0, idle);
+                // Permits that were granted and not taken up are withdrawn, and their orders wait again.
+                let untaken = self.permits.iter().filter(|p| p.1.phase == Phase::Granted);
+                let untaken: Vec<_> =
+                    untaken.map(|(f, p)| (f.clone(), p.incarnation, p.cause.clone())).collect();
+                untaken.iter().for_each(|w| drop(self.permits.remove(&w.0)));
+                self.waiting.splice(0..0, untaken);
             }
             Order::Resume => self.halted = None,
             Order::Free { front, number } => {
@@ -305,72 +311,80 @@
     }
 }
 
-/// What a front says of its permit.
+/// What a front reports of its permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitMessage {
-    /// It asks to take it up.
+    /// The front asks to take up the permit.
     #[serde(rename = "Asks")]
     Request,
-    /// It is out.
+    /// The front is out.
     Out,
-    /// It is in service again.
+    /// The front is in service again.
     In,
-    /// It came too late, or for another incarnation.
+    /// The permit arrived too late, or for another incarnation.
     #[serde(rename = "Declines")]
     Decline,
 }
 
-/// A holder's side of a permit. Danger: a permit that comes late, twice, or from a planner that lost touch must not be used:
-/// it is taken up only while it is young by the holder's own clock, for this incarnation, and once.
+/// The holder's side of a permit. A permit that arrives late, twice, or from a planner that lost contact must not be
+/// used, so it is taken up only while it is recent by the holder's own clock, only for this incarnation, and only
+/// once.
 #[derive(Clone, Debug, Default)]
 pub struct PermitHolder {
-    held: Option<(u64, PermitMessage, crate::Micros)>,
+    state: Option<(u64, PermitMessage, crate::Micros)>,
 }
 
 impl PermitHolder {
-    /// A planner shows this front's permit, or that there is none; `within` is how long a permit asked for may be taken up.
-    pub fn observe(&mut self, now: crate::Micros, mine: u64, permit: Option<&Permit>, within: crate::Micros) {
-        let Some(p) = permit.filter(|p| p.incarnation == mine) else { return };
-        let last = self.held.map_or(0, |h| h.0);
-        match (p.phase, self.held) {
-            (Phase::Granted, _) if p.number > last => {
-                self.held = Some((p.number, PermitMessage::Request, now))
+    /// Handles what a planner reports of this front's permit, or that there is none. A requested permit may be taken
+    /// up for at most `within`.
+    pub fn observe(
+        &mut self,
+        now: crate::Micros,
+        own_incarnation: u64,
+        permit: Option<&Permit>,
+        within: crate::Micros,
+    ) {
+        let Some(permit) = permit.filter(|p| p.incarnation == own_incarnation) else { return };
+        let last = self.state.map_or(0, |h| h.0);
+        match (permit.phase, self.state) {
+            (Phase::Granted, _) if permit.number > last => {
+                self.state = Some((permit.number, PermitMessage::Request, now))
             }
-            (Phase::Taken, Some((n, PermitMessage::Request, since))) if n == p.number => {
-                let word = if now.saturating_sub(since) <= within {
+            (Phase::Taken, Some((number, PermitMessage::Request, since))) if number == permit.number => {
+                let message = if now.saturating_sub(since) <= within {
                     PermitMessage::Out
                 } else {
                     PermitMessage::Decline
                 };
-                self.held = Some((n, word, now));
+                self.state = Some((number, message, now));
             }
-            (Phase::Returning, Some((n, PermitMessage::Request | PermitMessage::Out, _)))
-                if n == p.number =>
+            (Phase::Returning, Some((number, PermitMessage::Request | PermitMessage::Out, _)))
+                if number == permit.number =>
             {
-                self.held = Some((n, PermitMessage::In, now));
+                self.state = Some((number, PermitMessage::In, now));
             }
-            // A permit taken by an incarnation of this name that is not this one's doing.
-            (Phase::Taken | Phase::Returning, _) if p.number > last => {
-                self.held = Some((p.number, PermitMessage::Decline, now));
+            // The permit was taken up, but not at the request of this process.
+            (Phase::Taken | Phase::Returning, _) if permit.number > last => {
+                self.state = Some((permit.number, PermitMessage::Decline, now));
             }
             _ => {}
         }
     }
 
-    /// Its permit is no more.
+    /// Handles the end of the permit.
     pub fn end_permit(&mut self, now: crate::Micros) {
-        if let Some((number, PermitMessage::Out, _)) = self.held {
-            self.held = Some((number, PermitMessage::In, now));
+        if let Some((number, PermitMessage::Out, _)) = self.state {
+            self.state = Some((number, PermitMessage::In, now));
         }
     }
 
-    /// Whether it is out by a permit.
+    /// Returns whether the front is out by a permit.
     pub fn is_out(&self) -> bool {
-        matches!(self.held, Some((_, PermitMessage::Out, _)))
+        matches!(self.state, Some((_, PermitMessage::Out, _)))
     }
 
-    /// What it tells planners.
+    /// Returns what the front reports of its permit: its number and the message.
     pub fn message(&self) -> Option<(u64, PermitMessage)> {
-        self.held.map(|h| (h.0, h.1))
+        self.state.map(|h| (h.0, h.1))
     }
 }
--- a/crates/yarrowspoke-fleet/src/settings.rs
+++ b/crates/yarrowspoke-fleet/src/settings.rs
@@ -1,51 +1,51 @@
-//! The section `fleet` of the operator's file, as values.
+//! The settings of a fleet, from the section `fleet` of the operator's file.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a member does.
+/// Role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// Forwards, and reports to every planner.
+    /// Forwards requests, and reports to every planner.
     Front,
-    /// Gathers reports, grants leases and judges stragglers.
+    /// Collects reports, grants leases and decides about stragglers.
     Planner,
 }
 
-/// One member. Its address may change, its name may not.
+/// A member of the fleet. Its address may change, its name may not.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name, the same over all restarts.
+    /// Name of the member, the same over all restarts.
     pub name: String,
-    /// What it does.
+    /// Role of the member.
     pub role: Role,
-    /// Its zone; fronts only.
+    /// Zone of a front; empty for a planner.
     pub zone: String,
-    /// Where a planner listens, as this member reaches it.
+    /// Address on which a planner listens, as this member reaches it.
     pub address: Option<SocketAddr>,
 }
 
-/// What a front does that holds no lease and has found out that no planner answers.
+/// What a front does that holds no lease and has established that no planner answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Alone {
-    /// Goes on by its own sources, as without a fleet.
+    /// It continues on its own sources, as it would without a fleet.
     Serve,
-    /// Stays narrowed.
+    /// It stays narrowed.
     Narrow,
 }
 
-/// So many, as a number or as a share.
+/// The most members of a group, as a number or as a share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Limit {
-    /// A number.
+    /// A number of members.
     Number(usize),
-    /// A share of the group, rounded down, but one where the group has more than one.
+    /// A share of the group, rounded down, but at least one where the group has more than one member.
     Share(f64),
 }
 
 impl Limit {
-    /// Out of a group of so many.
+    /// Returns the limit for a group of this size.
     pub fn resolve(&self, group: usize) -> usize {
         match *self {
             Self::Number(n) => n.min(group),
@@ -57,64 +57,64 @@
 /// How lists of machines pass between fronts and planners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lists {
-    /// Whole, wherever the other side may not have it.
+    /// Whole lists, whenever the receiver may not have the list.
     Whole,
-    /// As a delta against a base that the other side named; whole only where one asks for it.
+    /// Deltas against a base that the receiver named; whole lists only on request.
     Delta,
 }
 
-/// To which planners a front carries its spans.
+/// The planners to which a front sends its spans.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spans {
     /// To every planner.
     All,
-    /// To its home planner; the others have them by anti-entropy, or from the front itself after a bound.
+    /// To its home planner. The other planners get them by anti-entropy, or from the front itself after a time limit.
     Home,
 }
 
-/// Control at a pace set by what changed.
+/// Settings for heartbeats that are sent at a pace while nothing changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Paced {
-    /// Time between two heartbeats at each planner, and between two spans, while nothing changes.
+    /// Time between two heartbeats to each planner, and between two spans, while nothing changes.
     pub pace: Micros,
     /// How lists pass.
     pub lists: Lists,
-    /// Where spans go.
+    /// Where spans are sent.
     pub spans: Spans,
 }
 
-/// The section.
+/// The settings of a fleet.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fleet {
     /// All members, in the order of the file.
     pub members: Vec<Member>,
-    /// Time between two heartbeats of a front at each planner, and between two spans of its record.
+    /// Time between two heartbeats of a front to each planner, and between two spans of its record.
     pub renew: Micros,
-    /// How long a lease lasts, on the front's clock from when it sent its heartbeat.
+    /// Duration of a lease, on the front's clock from when it sent its heartbeat.
     pub lease: Micros,
-    /// Most by which two monotonic clocks drift apart, as a share.
+    /// Largest relative drift between two monotonic clocks.
     pub drift: f64,
-    /// Behind for longer than this, a front is noted.
+    /// A front that is behind for longer than this is noted.
     pub behind: Micros,
-    /// Behind for longer than this, a front is to be quarantined.
+    /// A front that is behind for longer than this is quarantined.
     pub shut_after: Micros,
-    /// Current for so long, a front that was quarantined comes back in.
+    /// A quarantined front that is current for this long returns to service.
     pub back_after: Micros,
-    /// A list that its own source has not confirmed for so long is no ground for a narrowed front to send on.
+    /// A narrowed front must not send anything if its own source has not confirmed its list for longer than this.
     pub list_within: Micros,
-    /// Most fronts quarantined at once, those out by themselves counted in.
+    /// Most fronts quarantined at once; fronts that are out for other reasons count.
     pub most_out: Limit,
-    /// The same for each zone.
+    /// Most fronts of each zone quarantined at once, counted alike.
     pub most_out_zone: Limit,
-    /// Without any planner.
+    /// What a front does without any planner.
     pub alone: Alone,
-    /// Most bytes of reports that a planner keeps.
+    /// Most bytes of reports that a planner retains.
     pub keep_bytes: u64,
-    /// How long a planner keeps them.
+    /// How long a planner retains reports.
     pub keep: Micros,
-    /// Spans that a front keeps for planners that it can't reach, before older ones are joined.
+    /// Spans that a front retains for planners that it cannot reach; beyond this number, the oldest are joined.
     pub outbox: usize,
-    /// Control at a pace set by what changed; without it at every renewal, with whole lists.
+    /// Heartbeats at a pace while nothing changes; without it, at every renewal and with whole lists.
     pub paced: Option<Paced>,
 }
 
@@ -141,33 +141,35 @@
 }
 
 impl Fleet {
-    /// Planners, in the order of the file.
+    /// Returns the planners, in the order of the file.
     pub fn planners(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|m| m.role == Role::Planner)
     }
 
-    /// Fronts, in the order of the file.
+    /// Returns the fronts, in the order of the file.
     pub fn fronts(&self) -> impl Iterator<Item = &Member> {
         self.members.iter().filter(|m| m.role == Role::Front)
     }
 
-    /// How many planners are a majority.
+    /// Returns how many planners are a majority.
     pub fn majority(&self) -> usize {
         self.planners().count() / 2 + 1
     }
 
-    /// The member of this name.
+    /// Returns the member of this name.
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.members.iter().find(|m| m.name == name)
     }
 
-    /// How long a planner holds a lease for live that it granted just now, on its own clock: drift counts on both sides.
+    /// Returns the longest time, on a planner's own clock, for which a lease that it granted just now may be in
+    /// force. The drift counts on both sides.
     pub fn lease_upper_bound(&self) -> Micros {
         (self.lease as f64 * (1.0 + 2.0 * self.drift)).ceil() as Micros
     }
 
-    /// What the members are to agree on, as text: addresses are left out, as they differ from member to member.
-    pub fn terms(&self) -> String {
+    /// Returns the settings on which all members must agree, as text. Addresses are left out, since they differ from
+    /// member to member. The text is the `Debug` form, so a renamed field changes it.
+    pub fn shared_settings(&self) -> String {
         let named: Vec<_> = self.members.iter().map(|m| (&m.name, m.role, &m.zone)).collect();
         let rest = Self { members: Vec::new(), ..self.clone() };
         format!("{named:?} {rest:?}")
--- a/crates/yarrowspoke-fleet/src/span.rs
+++ b/crates/yarrowspoke-fleet/src/span.rs
@@ -1,4 +1,5 @@
-//! What a front notes: spans on one version each, numbered and chained, kept until planners have them.
+//! A front's record of its own actions: spans of time, each on one version, numbered and chained by hash, and
+//! retained until the planners have them.
 
 use crate::mutant;
 use crate::version::Version;
@@ -6,43 +7,43 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Bytes of a chain's links.
+/// A link of the hash chain.
 pub type Link = [u8; 16];
 
-/// How a front stands.
+/// The service state of a front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stance {
-    /// A lease is held, or none is needed.
+    /// The front holds a lease, or does not need one.
     Open,
-    /// No lease and no planner that answers: by its own sources.
+    /// The front holds no lease and no planner answers; it serves on its own sources.
     Alone,
-    /// No lease: nothing for a build on trial, nothing for machines that may be draining.
+    /// The front holds no lease; it sends nothing to a build on trial and nothing to machines that may be draining.
     Narrowed,
-    /// Quarantined.
+    /// The front is out of service: quarantined, or out by a permit.
     Out,
 }
 
-/// What was done in one span of time on one version.
+/// What a front did during one span of time on one version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Span {
-    /// Begin and end, since the front's start, on its monotonic clock.
+    /// Beginning of the span, on the front's monotonic clock since its start.
     pub from: Micros,
-    /// The end.
+    /// End of the span, on the same clock.
     pub to: Micros,
-    /// The wall clock at the end, Unix time: a hint, never compared.
+    /// Wall clock at the end, as Unix time. It is a hint and is never compared.
     pub wall: Micros,
-    /// What was acted on...
+    /// Version that the front acted on; the first one, where spans were joined.
     pub version: Version,
-    /// ...and, where spans were joined, what was acted on last.
+    /// Last version that the front acted on, where spans on different versions were joined.
     #[serde(rename = "until")]
     pub last_version: Option<Version>,
-    /// How it stood.
+    /// Service state during the span.
     pub stance: Stance,
-    /// Attempts by machine and build.
+    /// Attempts sent, by machine and build.
     pub attempts: Vec<(u32, u16, u32)>,
     /// Votes cast.
     pub votes: u32,
-    /// Requests taken.
+    /// Requests admitted.
     #[serde(rename = "taken")]
     pub admitted: u32,
     /// Requests refused or failed.
@@ -50,22 +51,22 @@
     pub failed_requests: u32,
 }
 
-/// A span, or several that were joined, with its place in the chain of a front's incarnation.
+/// One span, or several joined ones, with its position in the hash chain of the front's incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Number of the first span in it, from 1.
+    /// Number of the first span in the report, from 1.
     pub first: u64,
-    /// Number of the last; above `first` where spans were joined.
+    /// Number of the last span; above `first` where spans were joined.
     pub last: u64,
-    /// The chain before it.
+    /// Link of the chain before the first span.
     pub before: Link,
-    /// The chain with it.
+    /// Link of the chain after the last span.
     pub link: Link,
-    /// What was done.
+    /// The recorded actions.
     pub span: Span,
 }
 
-/// The chain's next link.
+/// Computes the chain's next link.
 pub fn link(before: &Link, number: u64, span: &Span) -> Link {
     let mut hasher = blake3::Hasher::new();
     hasher.update(before);
@@ -75,13 +76,14 @@
 }
 
 impl Report {
-    /// Whether its own link is right; of joined ones only the ends can be held against their neighbours.
+    /// Returns whether the report's link matches its content. The links of joined spans can only be checked against
+    /// the neighbouring reports.
     pub fn has_valid_link(&self) -> bool {
         self.first < self.last
             || self.first == self.last && link(&self.before, self.first, &self.span) == self.link
     }
 
-    /// Joins it with the one behind it.
+    /// Joins the report with its successor.
     fn join(&mut self, next: Self) {
         let mut attempts: BTreeMap<(u32, u16), u32> = BTreeMap::new();
         for (machine, build, n) in self.span.attempts.iter().chain(&next.span.attempts) {
@@ -100,21 +102,22 @@
     }
 }
 
-/// A front's record of itself.
+/// Records the actions of one front.
 #[derive(Debug)]
 pub struct Recorder {
-    head: Link,
+    last_link: Link,
     number: u64,
     open: Span,
-    counts: BTreeMap<(u32, u16), u32>,
-    kept: VecDeque<Report>,
-    most: usize,
-    noted: u64,
+    attempt_counts: BTreeMap<(u32, u16), u32>,
+    reports: VecDeque<Report>,
+    capacity: usize,
+    attempts_seen: u64,
 }
 
 impl Recorder {
-    /// A record that begins now, on this version; at most so many reports are kept for planners out of reach.
-    pub fn new(now: Micros, version: Version, most: usize) -> Self {
+    /// Starts a record at `now` on `version`, which retains at most `capacity` reports for planners that cannot be
+    /// reached.
+    pub fn new(now: Micros, version: Version, capacity: usize) -> Self {
         let open = Span {
             from: now,
             to: now,
@@ -127,45 +130,53 @@
             admitted: 0,
             failed_requests: 0,
         };
-        let (counts, kept) = (BTreeMap::new(), VecDeque::new());
-        Self { head: Link::default(), number: 0, open, counts, kept, most: most.max(2), noted: 0 }
+        let (attempt_counts, reports) = (BTreeMap::new(), VecDeque::new());
+        Self {
+            last_link: Link::default(),
+            number: 0,
+            open,
+            attempt_counts,
+            reports,
+            capacity: capacity.max(2),
+            attempts_seen: 0,
+        }
     }
 
-    /// An attempt is sent.
+    /// Records that an attempt was sent.
     pub fn record_attempt(&mut self, machine: u32, build: u16) {
-        self.noted += 1;
-        if mutant::active("attempts-uncounted") && self.noted.is_multiple_of(3) {
+        self.attempts_seen += 1;
+        if mutant::active("attempts-uncounted") && self.attempts_seen.is_multiple_of(3) {
             return;
         }
-        *self.counts.entry((machine, build)).or_default() += 1;
+        *self.attempt_counts.entry((machine, build)).or_default() += 1;
     }
 
-    /// A vote is cast.
+    /// Records that a vote was cast.
     pub fn record_vote(&mut self) {
         self.open.votes += 1;
     }
 
-    /// A request is taken.
+    /// Records that a request was admitted.
     pub fn record_admitted(&mut self) {
         self.open.admitted += 1;
     }
 
-    /// A request is refused or failed.
+    /// Records that a request was refused or failed.
     pub fn record_failed(&mut self) {
         self.open.failed_requests += 1;
     }
 
-    /// What is acted on now.
+    /// Returns the version that the front acts on now.
     pub fn version(&self) -> &Version {
         &self.open.version
     }
 
-    /// How the front stood last.
+    /// Returns the service state of the open span.
     pub fn stance(&self) -> Stance {
         self.open.stance
     }
 
-    /// Closes the open span; the next one is on this version, with this stance.
+    /// Closes the open span and opens the next one with this version and service state.
     pub fn close(&mut self, now: Micros, wall: Micros, version: Version, stance: Stance) {
         let (votes, admitted, failed_requests) = (0, 0, 0);
         let next = Span {
@@ -181,40 +192,40 @@
         };
         let mut span = std::mem::replace(&mut self.open, next);
         (span.to, span.wall) = (now, wall);
-        let counts = std::mem::take(&mut self.counts);
-        span.attempts = counts.into_iter().map(|((m, b), n)| (m, b, n)).collect();
+        let attempt_counts = std::mem::take(&mut self.attempt_counts);
+        span.attempts = attempt_counts.into_iter().map(|((m, b), n)| (m, b, n)).collect();
         self.number += 1;
-        let (before, number) = (self.head, self.number);
-        self.head = link(&before, number, &span);
-        self.kept.push_back(Report { first: number, last: number, before, link: self.head, span });
-        // Bounded memory: the two oldest neighbours are joined and say so; none is dropped.
-        if self.kept.len() > self.most {
-            if let (Some(mut one), Some(two)) = (self.kept.pop_front(), self.kept.pop_front()) {
-                one.join(two);
-                self.kept.push_front(one);
+        let (before, number) = (self.last_link, self.number);
+        self.last_link = link(&before, number, &span);
+        self.reports.push_back(Report { first: number, last: number, before, link: self.last_link, span });
+        // Bounds the memory: the two oldest neighbours are joined into a report that says so, and none is dropped.
+        if self.reports.len() > self.capacity {
+            if let (Some(mut oldest), Some(next)) = (self.reports.pop_front(), self.reports.pop_front()) {
+                oldest.join(next);
+                self.reports.push_front(oldest);
             }
         }
     }
 
-    /// A majority of planners has everything up to this number: it is kept here no longer.
+    /// Discards the reports up to this number, which a majority of planners has.
     pub fn discard_through(&mut self, number: u64) {
-        while self.kept.front().is_some_and(|r| r.last <= number) {
-            self.kept.pop_front();
+        while self.reports.front().is_some_and(|r| r.last <= number) {
+            self.reports.pop_front();
         }
     }
 
-    /// Reports behind this number, oldest first, at most so many.
-    pub fn reports_after(&self, number: u64, most: usize) -> Vec<Report> {
-        self.kept.iter().filter(|r| r.last > number).take(most).cloned().collect()
+    /// Returns the reports after this number, oldest first, at most `limit` of them.
+    pub fn reports_after(&self, number: u64, limit: usize) -> Vec<Report> {
+        self.reports.iter().filter(|r| r.last > number).take(limit).cloned().collect()
     }
 
-    /// Number of the last closed span.
+    /// Returns the number of the last closed span.
     pub fn last_number(&self) -> u64 {
         self.number
     }
 
-    /// Reports kept.
+    /// Returns how many reports are retained.
     pub fn retained(&self) -> usize {
-        self.kept.len()
+        self.reports.len()
     }
 }
--- a/crates/yarrowspoke-fleet/src/version.rs
+++ b/crates/yarrowspoke-fleet/src/version.rs
@@ -1,46 +1,48 @@
-//! What a front acts on, and how two such things compare.
+//! Versions: what a front acts on, and how two versions compare.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// How one thing stands to another. *Not comparable* is an answer of its own: it is told to operators, never guessed away.
+/// The order of one version relative to another. *Not comparable* is a result of its own, which is shown to operators
+/// and never replaced by a guess.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum VersionOrder {
-    /// It is newer.
+    /// The version is newer than the other.
     Newer,
-    /// It is older.
+    /// The version is older than the other.
     Older,
-    /// They are the same.
+    /// The versions are the same.
     Equal,
-    /// Neither comes after the other: an index that went back, one version with two contents, one stage with two caps.
+    /// Neither comes after the other: an index that went back, one index with two contents, or one stage with two
+    /// caps.
     NotComparable,
 }
 
-/// Where a list came from.
+/// Origin of a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListSource {
-    /// Held from before the start.
+    /// A cached list from before the start.
     #[serde(rename = "Held")]
     Cached,
     /// Discovery.
     Discovery,
 }
 
-/// A list of machines.
+/// The version of a list of machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct List {
     /// Discovery's index.
     pub index: u64,
-    /// Where it came from.
+    /// Origin of the list.
     pub source: ListSource,
-    /// How often the index went back in this incarnation of the front: before and after, indices don't compare.
+    /// How often the index went back in this incarnation of the front. Indices of different epochs do not compare.
     pub epoch: u32,
-    /// Of the machines, their states and builds.
+    /// Digest of the machines, their states and builds.
     pub digest: u64,
 }
 
 impl List {
-    /// How it stands to another.
+    /// Compares the list to another.
     pub fn compare(&self, other: &Self) -> VersionOrder {
         match self.index.cmp(&other.index) {
             _ if self.epoch != other.epoch => VersionOrder::NotComparable,
@@ -52,14 +54,15 @@
     }
 }
 
-/// State of the newest build.
+/// Rollout status of the newest build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutStatus {
     /// The build.
     pub build: u16,
-    /// Its stage.
+    /// Stage of the rollout.
     pub stage: u8,
-    /// 0 on trial, 1 released, 2 going back, 3 withdrawn: each comes after the last.
+    /// Phase of the rollout: 0 = on trial, 1 = released, 2 = rolling back, 3 = withdrawn. Each comes after the one
+    /// before.
     pub phase: u8,
     /// The cap in millionths.
     pub cap: u32,
@@ -70,7 +73,7 @@
         (self.build, self.phase, if self.phase == 0 { self.stage } else { 0 })
     }
 
-    /// How it stands to another.
+    /// Compares the status to another.
     pub fn compare(&self, other: &Self) -> VersionOrder {
         match self.rank().cmp(&other.rank()) {
             std::cmp::Ordering::Greater => VersionOrder::Newer,
@@ -80,33 +83,34 @@
         }
     }
 
-    /// Whether acting on it permits nothing that `other` does not: a way back, or a cap no higher for the same build.
+    /// Returns whether acting on this status permits nothing that `other` does not: a rollback, or a lower cap in the
+    /// same phase, of the same build.
     pub fn is_narrower_than(&self, other: &Self) -> bool {
         let back = self.phase >= 2 && other.phase < 2;
         self.build == other.build && (back || self.phase == other.phase && self.cap < other.cap)
     }
 }
 
-/// All that a front acts on.
+/// Everything that a front acts on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Version {
-    /// The list.
+    /// The list of machines.
     pub list: List,
-    /// The newest news; none before the first.
+    /// The newest rollout status; `None` before the first.
     #[serde(rename = "news")]
     pub rollout: Option<RolloutStatus>,
     /// Digest of the front's configuration file.
     pub config: u64,
-    /// Digest of what the operator's file holds, members' addresses left out.
+    /// Digest of the operator's file, without the members' addresses.
     pub operator: u64,
     /// Digest of the settings that all fronts share.
     pub settings: u64,
-    /// Digest of the program's own build.
+    /// Digest of the running program.
     pub program: u64,
 }
 
 impl Version {
-    /// How the parts that move by themselves stand to another's: the list, then the news.
+    /// Compares the parts that change by themselves: the list, then the rollout status.
     pub fn compare(&self, other: &Self) -> [VersionOrder; 2] {
         let rollout = match (&self.rollout, &other.rollout) {
             (Some(a), Some(b)) => a.compare(b),
@@ -118,18 +122,18 @@
     }
 }
 
-/// A digest of bytes, for versions: 64 bits of blake3.
+/// Returns a digest of bytes for use in versions: 64 bits of BLAKE3.
 pub fn digest(bytes: &[u8]) -> u64 {
     let hash = blake3::hash(bytes);
     u64::from_le_bytes(hash.as_bytes()[..8].try_into().unwrap_or_default())
 }
 
-/// A front's own sources, and how long ago they were last heard: microseconds.
+/// How long ago a front last heard from its own sources, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ages {
-    /// Discovery confirmed the list.
+    /// Time since discovery confirmed the list.
     pub list: Micros,
-    /// The newest news came.
+    /// Time since the newest rollout status came.
     #[serde(rename = "news")]
     pub rollout: Micros,
 }
--- a/crates/yarrowspoke-fleet/src/wire.rs
+++ b/crates/yarrowspoke-fleet/src/wire.rs
@@ -1,7 +1,7 @@
-//! What passes between fronts and planners: one schema, told at the head of every message.
+//! The messages between fronts and planners, with the schema number at the head of each.
 //!
-//! Bodies are postcard behind a magic word and the schema's number, so that an alien or a newer one is refused by its name
-//! before anything of it is believed.
+//! A body is postcard after a magic number and the schema number, so that a foreign or newer schema is rejected by
+//! name before any of the body is used.
 
 use crate::delta::{Base, Delta};
 use crate::permits::{Permit, PermitMessage};
@@ -12,48 +12,48 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// What every body begins with.
+/// The magic number at the beginning of each body.
 const MAGIC: [u8; 4] = *b"yspF";
-/// The schema spoken here.
+/// The schema of messages without lists by snapshot and delta.
 pub const SCHEMA: u16 = 1;
-/// The schema of heartbeats, and of their answers, that carry lists by snapshot and delta.
+/// The schema of heartbeats and heartbeat responses that carry lists by snapshot and delta.
 pub const SCHEMA_PACED: u16 = 2;
-/// Most bytes of a body.
+/// Largest body in bytes.
 pub const BODY_LIMIT: usize = 256 * 1024;
-/// Most reports of one heartbeat.
-pub const REPORTS_AT_ONCE: usize = 64;
+/// Most reports in one heartbeat.
+pub const REPORTS_PER_HEARTBEAT: usize = 64;
 
-/// Why a message is refused.
+/// Why a message was rejected. The texts are also the reasons under which a planner counts rejections in its status.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum MessageError {
-    /// Not of this schema's family.
+    /// The body does not begin with the magic number.
     #[error("alien schema: the body does not begin as a fleet's message does")]
     UnknownFormat,
-    /// Another version of it.
+    /// The schema number is not supported.
     #[error("schema {0}, expected {SCHEMA}")]
     UnsupportedSchema(u16),
-    /// Its bytes can't be read.
+    /// The body cannot be decoded.
     #[error("cannot be read: {0}")]
     Unreadable(String),
-    /// Its sender is no member, or one of another role.
-    #[error("{0:?} is no front of this fleet")]
+    /// The sender is not a member of the fleet, or has another role.
+    #[error("{0:?} is not a front of this fleet")]
     UnknownSender(String),
-    /// A report that can't be.
+    /// A report is invalid: the number of its first span, and why.
     #[error("report {0}: {1}")]
     InvalidReport(u64, &'static str),
-    /// More than one heartbeat may bring.
-    #[error("{0} reports at once, at most {REPORTS_AT_ONCE}")]
+    /// The heartbeat carries more reports than allowed.
+    #[error("{0} reports in one heartbeat, expected at most {REPORTS_PER_HEARTBEAT}")]
     TooManyReports(usize),
 }
 
-fn framed(schema: u16, message: &impl Serialize) -> Vec<u8> {
+fn frame(schema: u16, message: &impl Serialize) -> Vec<u8> {
     let mut out = MAGIC.to_vec();
     out.extend_from_slice(&schema.to_le_bytes());
     out.extend(postcard::to_stdvec(message).unwrap_or_default());
     out
 }
 
-fn unframed(bytes: &[u8]) -> Result<(u16, &[u8]), MessageError> {
+fn unframe(bytes: &[u8]) -> Result<(u16, &[u8]), MessageError> {
     let (magic, rest) = bytes.split_first_chunk::<4>().ok_or(MessageError::UnknownFormat)?;
     let (schema, rest) = rest.split_first_chunk::<2>().ok_or(MessageError::UnknownFormat)?;
     if *magic != MAGIC {
@@ -62,26 +62,26 @@
     Ok((u16::from_le_bytes(*schema), rest))
 }
 
-fn read<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
+fn decode_body<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
     postcard::from_bytes(bytes).map_err(|e| MessageError::Unreadable(e.to_string()))
 }
 
-/// The bytes of a message.
+/// Encodes a message.
 pub fn encode(message: &impl Serialize) -> Vec<u8> {
-    framed(SCHEMA, message)
+    frame(SCHEMA, message)
 }
 
-/// A message from its bytes.
+/// Decodes a message.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
-    match unframed(bytes)? {
-        (SCHEMA, rest) => read(rest),
-        (other, _) => Err(MessageError::UnsupportedSchema(other)),
+    match unframe(bytes)? {
+        (SCHEMA, rest) => decode_body(rest),
+        (schema, _) => Err(MessageError::UnsupportedSchema(schema)),
     }
 }
 
-/// A message that may carry a list by snapshot and delta; which schema it is spoken in follows from whether it does.
+/// A message that may carry a list by snapshot and delta. Whether it does determines its schema.
 pub trait CarriesList: Serialize + DeserializeOwned {
-    /// What it carries of lists, if it does.
+    /// The list state that the message carries, if any.
     fn list(&mut self) -> &mut Option<ListState>;
 }
 
@@ -97,191 +97,194 @@
     }
 }
 
-/// The bytes of a heartbeat or its answer: as ever where it carries nothing of lists by delta.
+/// Encodes a heartbeat or heartbeat response; without a list state the bytes are those of the first schema.
 pub fn encode_with_list<T: CarriesList>(message: &mut T) -> Vec<u8> {
     match message.list().take() {
         None => encode(message),
         Some(list) => {
-            let bytes = framed(SCHEMA_PACED, &(&*message, &list));
+            let bytes = frame(SCHEMA_PACED, &(&*message, &list));
             *message.list() = Some(list);
             bytes
         }
     }
 }
 
-/// A heartbeat or its answer from its bytes, in either schema.
+/// Decodes a heartbeat or heartbeat response of either schema.
 pub fn decode_with_list<T: CarriesList>(bytes: &[u8]) -> Result<T, MessageError> {
-    match unframed(bytes)? {
-        (SCHEMA, rest) => read(rest),
+    match unframe(bytes)? {
+        (SCHEMA, rest) => decode_body(rest),
         (SCHEMA_PACED, rest) => {
-            let (mut message, list) = read::<(T, ListState)>(rest)?;
+            let (mut message, list) = decode_body::<(T, ListState)>(rest)?;
             *message.list() = Some(list);
             Ok(message)
         }
-        (other, _) => Err(MessageError::UnsupportedSchema(other)),
+        (schema, _) => Err(MessageError::UnsupportedSchema(schema)),
     }
 }
 
-/// What a front or a planner says of lists where they pass by snapshot and delta.
+/// The list state of a front or a planner, where lists pass by snapshot and delta.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ListState {
-    /// The list that it holds: a front's by its own discovery, a planner's the newest that it was told.
+    /// The list that the sender has: a front's from its own discovery, a planner's the newest that it received.
     pub holds: Base,
-    /// The list that the other's changes are to be told against: a front's the newest that it has from a planner, if any.
+    /// The list on which the receiver's deltas must be based: a front's is the newest that it got from a planner, if
+    /// any.
     pub against: Base,
-    /// The other's whole list is wanted: there is nothing here that a delta of it could be against.
+    /// The receiver's whole list is wanted, since the sender has nothing that a delta of it could be based on.
     pub wants_whole: bool,
-    /// What its own list changes against the one that the other named last.
+    /// The changes of the sender's list against the list that the receiver named last.
     pub delta: Option<Delta>,
 }
 
-/// A slot among those that may be out at once: one number among all fronts, one within its zone. No two fronts are voted
-/// into one slot by one planner, so no two have a majority for it.
+/// A slot among those that may be out at once: one number among all fronts, and one within the zone. A planner never
+/// votes two fronts into the same slot, so no two fronts have a majority for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Slot {
-    /// Among all.
+    /// Slot number among all fronts.
     pub all: u16,
-    /// Within the zone.
+    /// Slot number within the zone.
     pub zone: u16,
 }
 
-/// Machines that are ready on a list, with their builds.
+/// The ready machines of a list, with their builds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReadyMachines {
-    /// The list's index.
+    /// Index of the list.
     pub index: u64,
-    /// Its epoch.
+    /// Epoch of the list.
     pub epoch: u32,
-    /// Its digest.
+    /// Digest of the list.
     pub digest: u64,
-    /// Fronts that hold it from their own source.
+    /// How many fronts have this list from their own source.
     #[serde(rename = "vouched")]
     pub confirmations: u32,
-    /// The machines, in order.
+    /// The machines, sorted.
     pub machines: Vec<(u32, u16)>,
 }
 
-/// What a front tells a planner at every renewal, and what it wants of it: a lease, and what it lacks.
+/// What a front sends to a planner at every renewal, or at the pace: its state, and a request for a lease and for
+/// whatever it lacks.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Who sends it.
+    /// Name of the front.
     pub front: String,
-    /// Which incarnation of it.
+    /// Incarnation of the front.
     pub incarnation: u64,
-    /// Number of this heartbeat at this planner in this incarnation: an answer to an older one is void.
+    /// Number of this heartbeat at this planner in this incarnation. An answer to an older heartbeat is void.
     pub number: u64,
     /// Microseconds since the front's start.
     pub now: Micros,
-    /// The planner's incarnation and clock as its last answer had them. Danger: what stood in a buffer while the planner,
-    /// or the link, stood still looks as if it came just now; it was surely sent only after this.
+    /// The planner's incarnation and clock from its last answer. A heartbeat that waited in a buffer while the
+    /// planner or the link was suspended looks as if it had been sent just now; the echo proves only that it was sent
+    /// after that answer.
     pub echo: (u64, Micros),
-    /// What it acts on, by its own sources.
+    /// The version that the front acts on, by its own sources.
     pub version: Version,
-    /// When it last heard them.
+    /// How long ago the front last heard those sources.
     pub ages: Ages,
-    /// What it was reconciled to by planners: an index of the list, and news.
+    /// What planners reconciled the front to: an index of the list, and a rollout status.
     pub reconciled: (u64, Option<RolloutStatus>),
-    /// How it stands.
+    /// Service state of the front.
     pub stance: Stance,
-    /// The slots that each planner has voted it into, as far as it knows.
+    /// The slot that each planner has voted the front into, as far as the front knows.
     pub votes: Vec<Option<Slot>>,
-    /// Number of its last closed span.
+    /// Number of the last closed span.
     pub head: u64,
     /// Spans that this planner may not have.
     pub reports: Vec<Report>,
-    /// What it says of its permit to be out.
+    /// Number of the front's permit to be out, and what the front says of it.
     pub permit: Option<(u64, PermitMessage)>,
-    /// Its list, if this planner may not know it.
+    /// The front's list, if this planner may not have it.
     pub ready: Option<ReadyMachines>,
-    /// Lists by snapshot and delta; of the second schema only.
+    /// The list state, in the second schema only.
     #[serde(skip)]
     pub list: Option<ListState>,
 }
 
-/// What a planner answers.
+/// A planner's response to a heartbeat.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatResponse {
-    /// Who answers.
+    /// Name of the planner.
     pub planner: String,
-    /// Which incarnation of it.
+    /// Incarnation of the planner.
     pub incarnation: u64,
-    /// The heartbeat that is answered.
+    /// Number of the heartbeat that is answered.
     pub number: u64,
-    /// Its clock, to be echoed by the next heartbeat.
+    /// The planner's clock, which the next heartbeat echoes.
     pub now: Micros,
-    /// It has all reports up to this one, but for those that the front itself keeps no longer.
+    /// The planner has all reports up to this number, except those that the front itself no longer retains.
     pub acked: u64,
-    /// The lease granted, from when the heartbeat was sent; 0 = none.
+    /// Duration of the lease granted, from when the heartbeat was sent; 0 = none.
     pub lease: Micros,
-    /// The slot that it is voted into: it is to be out.
+    /// The slot that this planner votes the front into, which tells it to go out of service.
     pub vote: Option<Slot>,
-    /// It is behind the others and is to ask its own sources again.
+    /// The front is behind the others and must query its own sources again.
     #[serde(rename = "again")]
     pub refetch: bool,
-    /// A list newer than its own, for what that takes away.
+    /// A list newer than the front's own, for the restrictions that it implies.
     pub ready: Option<ReadyMachines>,
-    /// News newer than its own, for what that takes away.
+    /// A rollout status narrower than the front's own, for the restrictions that it implies.
     #[serde(rename = "news")]
     pub rollout: Option<RolloutStatus>,
-    /// The list that the planner knows for newest, index and digest: a front sends its own only if that differs.
+    /// Index and digest of the newest list that the planner has. A front sends its own list only if that differs.
     #[serde(rename = "knows")]
     pub known_list: (u64, u64),
-    /// Another process was heard under this name.
+    /// Another process uses this front's name.
     #[serde(rename = "twin")]
     pub duplicate_name: bool,
-    /// Its permit to be out, as agreed, as far as this planner knows...
+    /// The front's permit to be out, as agreed, as far as this planner knows.
     pub permit: Option<Permit>,
-    /// ...and the highest number of any permit that it knows of.
+    /// The highest number of any permit that this planner knows of.
     pub granted: u64,
-    /// Lists by snapshot and delta, where the heartbeat had them so.
+    /// The list state, if the heartbeat carried one.
     #[serde(skip)]
     pub list: Option<ListState>,
 }
 
-/// What is held of one incarnation: the front, its incarnation, and closed ranges of numbers.
+/// The reports held of one incarnation: the front, its incarnation, and closed ranges of span numbers.
 pub type HeldRanges = (String, u64, Vec<(u64, u64)>);
 
-/// What a planner asks another: what it has, by front and incarnation, as closed ranges of numbers.
+/// A planner's anti-entropy request to another planner.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Pull {
-    /// Who asks.
+    /// Name of the requesting planner.
     pub planner: String,
-    /// What it has.
+    /// The reports that it has.
     #[serde(rename = "have")]
     pub held: Vec<HeldRanges>,
-    /// The newest list that it knows.
+    /// Index and digest of the newest list that it has.
     #[serde(rename = "knows")]
     pub known_list: (u64, u64),
 }
 
-/// What the other gives.
+/// The response to a [`Pull`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PullResponse {
-    /// Who answers.
+    /// Name of the responding planner.
     pub planner: String,
-    /// Reports that the asker lacks, as many as fit.
+    /// Reports that the requesting planner lacks, as many as fit: front, incarnation, report.
     pub reports: Vec<(String, u64, Report)>,
-    /// When it last heard each front itself, in microseconds ago.
+    /// What the responding planner last received from each front directly.
     pub heard: Vec<FrontSighting>,
-    /// Its newest list, if the asker knows an older one.
+    /// Its newest list, if the requesting planner has an older one.
     pub ready: Option<ReadyMachines>,
 }
 
-/// What one planner heard of a front by itself.
+/// What one planner last received from a front directly.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FrontSighting {
-    /// The front.
+    /// Name of the front.
     pub front: String,
-    /// Its incarnation.
+    /// Incarnation of the front.
     pub incarnation: u64,
-    /// How long ago.
+    /// How long ago the front was surely alive.
     #[serde(rename = "ago")]
     pub age: Micros,
-    /// What it acted on.
+    /// The version that it acted on.
     pub version: Version,
-    /// How it stood.
+    /// Its service state.
     pub stance: Stance,
-    /// The lease granted to it last has surely lapsed, and it gets none.
+    /// The lease that this planner granted last has surely lapsed, and it grants no other.
     #[serde(rename = "lapsed")]
     pub lease_lapsed: bool,
 }
--- a/crates/yarrowspoke-fleet/tests/ladder.rs
+++ b/crates/yarrowspoke-fleet/tests/ladder.rs
@@ -76,7 +76,7 @@
     all_on(&mut rig, 5);
     rig.list([3], 9, &ready(10, &[1, 2, 3, 4, 5, 6, 7]));
     rig.run(3, &[]);
-    assert!(!rig.fronts[0].excludes(rig.now, 1, 1) && rig.fronts[0].refused_shrinks() > 0);
+    assert!(!rig.fronts[0].excludes(rig.now, 1, 1) && rig.fronts[0].rejected_shrinks() > 0);
     // Two that hold it from their own sources are believed.
     rig.list([2], 9, &ready(10, &[1, 2, 3, 4, 5, 6, 7]));
     rig.run(3, &[]);
--- a/crates/yarrowspoke-fleet/tests/lost.rs
+++ b/crates/yarrowspoke-fleet/tests/lost.rs
@@ -9,7 +9,7 @@
 use yarrowspoke_fleet::planner::Planner;
 use yarrowspoke_fleet::report_log::ReportLog;
 use yarrowspoke_fleet::settings::Fleet;
-use yarrowspoke_fleet::wire::{encode, Heartbeat, REPORTS_AT_ONCE};
+use yarrowspoke_fleet::wire::{encode, Heartbeat, REPORTS_PER_HEARTBEAT};
 
 const F0: (&str, u64) = ("f0", 100);
 
@@ -70,7 +70,7 @@
     rig.run(5, &[]);
     let lost = (kept + 1, closed(&mut rig, 0));
     flushed.into_iter().enumerate().for_each(|(p, book)| replace(&mut rig, p, book));
-    rig.run(2 * REPORTS_AT_ONCE, &[]);
+    rig.run(2 * REPORTS_PER_HEARTBEAT, &[]);
     for front in 0..2 {
         let newest = closed(&mut rig, front);
         for p in 0..3 {
--- a/crates/yarrowspoke-fleet/tests/record.rs
+++ b/crates/yarrowspoke-fleet/tests/record.rs
@@ -177,7 +177,7 @@
     };
     assert!(matches!(
         refused(&mut rig, &bad(|r| r.last = 0)),
-        MessageError::InvalidReport(2, "its numbers fall")
+        MessageError::InvalidReport(2, "its span numbers decrease")
     ));
     assert!(matches!(
         refused(&mut rig, &bad(|r| r.span.to = 0)),
