--- a/crates/yarrowspoke-fleet/src/front.rs
+++ b/crates/yarrowspoke-fleet/src/front.rs
@@ -255,7 +255,7 @@
         if answering < self.planners.len() && answering <= self.fleet.majority() {
             return true;
         }
-        if mutant::active("change-min_delay-for-pace") {
+        if mutant::active("change-waits-for-pace") {
             return false;
         }
         let has_list_update = view.wants_whole
