--- a/crates/yarrowspoke/src/membership/lease.rs
+++ b/crates/yarrowspoke/src/membership/lease.rs
@@ -1,137 +1,141 @@
-//! How long a list, or a single machine of it, may be sent to without being confirmed anew.
+//! Leases: how long a list, or a single machine of it, may be used without being confirmed again.
 //!
-//! A machine does not vouch for itself by answering: another process may have come up under its name and address, while
-//! discovery still has to tell that the one listed has gone.
+//! An answer from a machine does not renew its lease: another process may have started under its name and address
+//! before discovery has reported that the listed one is gone.
 
 use crate::interface::{MachineId, Micros, Settings};
 use std::collections::BTreeMap;
 
-/// A change of the list counts as told this long after discovery had it, whether or not it arrived.
-const TOLD_WITHIN: Micros = 6_000_000;
-/// What a discovery at a new address has to tell counts as told this long after the move.
-const MOVED_TOLD_WITHIN: Micros = 4_000_000;
-/// Held back from the grace of a drain where a list of unknown age is used.
-const GRACE_MARGIN: Micros = 100_000;
-/// How long the list is kept in use on the word of other fronts that none of them can reach discovery.
-const OUTAGE_LASTS: Micros = 1_500_000;
-
-/// Who vouches for a machine.
+/// A front must act on a change of the list within this time after discovery had it, whether or not the change
+/// arrived.
+const LIST_CHANGE_DEADLINE: Micros = 6_000_000;
+/// A front must act on the list of a discovery at a new address within this time after the move.
+const MOVED_CHANGE_DEADLINE: Micros = 4_000_000;
+/// Safety margin subtracted from the drain grace where a list of unknown age is used.
+const DRAIN_GRACE_MARGIN: Micros = 100_000;
+/// How long the list stays in use after other fronts reported that none of them can reach discovery.
+const OUTAGE_LEASE_DURATION: Micros = 1_500_000;
+
+/// The evidence behind a machine's lease, from the weakest to the strongest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum LeaseSource {
-    /// Nobody.
+    /// There is no evidence.
     None,
-    /// The list held from before the start, of unknown age.
+    /// The list cached before the start, of unknown age.
     Cache,
-    /// Other fronts, none of which can reach discovery: nothing newer is known to anybody.
+    /// Reports of other fronts that none of them can reach discovery: no front knows anything newer.
     Outage,
     /// Another front whose list is confirmed.
     Peer,
-    /// Discovery.
+    /// Discovery itself.
     Discovery,
 }
 
-/// What a send stands on.
+/// A lease: until when a machine may be used, and by which evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseBasis {
-    /// Who vouches for the machine.
+    /// The evidence behind the lease.
     pub source: LeaseSource,
-    /// Until when.
+    /// When the lease ends.
     pub until: Micros,
 }
 
-/// How far a list is trusted in this deployment.
+/// How long lists are used in this deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseTerms {
-    /// How long a confirmed list stands.
-    lasts: Micros,
-    /// How long one of unknown age stands after a start.
-    cached: Micros,
-    /// The host confirms a standing subscription again and again; otherwise it stands until it is said to have ended.
-    heartbeats: bool,
-    /// The list comes unasked, and its source never falls silent.
-    unasked: bool,
+    /// Lease of a confirmed list.
+    duration: Micros,
+    /// Lease of a cached list of unknown age after a start.
+    cache_duration: Micros,
+    /// The host confirms an open subscription periodically; otherwise the subscription is valid until the host
+    /// reports its end.
+    has_heartbeats: bool,
+    /// The list is pushed to the front, and its source never falls silent.
+    is_pushed: bool,
 }
 
 impl LeaseTerms {
-    /// As the settings have it.
+    /// Derives the terms from the settings.
     pub fn from_settings(settings: &Settings) -> Self {
-        let lasts = match settings.list_refresh_interval {
-            0 => TOLD_WITHIN,
-            within => within.min(TOLD_WITHIN),
+        let duration = match settings.list_refresh_interval {
+            0 => LIST_CHANGE_DEADLINE,
+            interval => interval.min(LIST_CHANGE_DEADLINE),
         };
         Self {
-            lasts,
-            cached: settings.drain_grace.saturating_sub(GRACE_MARGIN),
-            heartbeats: settings.list_heartbeats,
-            unasked: !settings.pulls_list,
+            duration,
+            cache_duration: settings.drain_grace.saturating_sub(DRAIN_GRACE_MARGIN),
+            has_heartbeats: settings.list_heartbeats,
+            is_pushed: !settings.pulls_list,
         }
     }
 }
 
-/// Another front's list, as far as it is known.
+/// What is known of another front's list.
 #[derive(Clone, Debug)]
 struct NewerList {
-    /// Until when it holds; 0 where that front cannot reach discovery.
+    /// When its lease ends; 0 if that front cannot reach discovery.
     until: Micros,
     version: u64,
-    /// This front's machines that have not changed up to then.
+    /// This front's machines that are unchanged in that list.
     machines: Vec<MachineId>,
 }
 
 /// Leases on the list as a whole and on single machines.
 #[derive(Clone)]
 pub struct Leases {
-    trust: LeaseTerms,
+    terms: LeaseTerms,
     list: LeaseBasis,
     machines: BTreeMap<MachineId, LeaseBasis>,
-    /// What others know by a newer list than this front's own. While nobody can reach discovery these machines alone stay in
-    /// use.
+    /// What others know from a list newer than this front's own. While no front can reach discovery, only these
+    /// machines stay in use.
     newer: Option<NewerList>,
-    /// Discovery has moved and has not been heard at its new address: what it has counts as told from then on.
-    moved_bound: Option<Micros>,
-    /// Something was told then that this front has not read: only what was confirmed later may be used.
+    /// Set while discovery has moved and has not answered at its new address: this front must act on the list at the
+    /// new address from then on.
+    moved_deadline: Option<Micros>,
+    /// Changes were sent at this time that this front has not read: only later confirmations may be used.
     unread_at: Option<Micros>,
 }
 
 impl Leases {
-    /// No lease on anything; a list that comes unasked needs none.
-    pub fn new(trust: LeaseTerms) -> Self {
-        let list = match trust.unasked {
+    /// Creates an empty set of leases; a list that is pushed needs none.
+    pub fn new(terms: LeaseTerms) -> Self {
+        let list = match terms.is_pushed {
             true => LeaseBasis { source: LeaseSource::Discovery, until: Micros::MAX },
             false => LeaseBasis { source: LeaseSource::None, until: 0 },
         };
-        Self { trust, list, machines: BTreeMap::new(), newer: None, moved_bound: None, unread_at: None }
+        Self { terms, list, machines: BTreeMap::new(), newer: None, moved_deadline: None, unread_at: None }
     }
 
-    /// The list from before the start is taken on.
+    /// Starts a short lease on the list cached before the start.
     pub fn start_from_cache(&mut self, now: Micros) {
-        if !self.trust.unasked {
-            self.list = LeaseBasis { source: LeaseSource::Cache, until: now + self.trust.cached };
+        if !self.terms.is_pushed {
+            self.list = LeaseBasis { source: LeaseSource::Cache, until: now + self.terms.cache_duration };
         }
     }
 
-    /// Discovery has confirmed the list, or told all that changed.
+    /// Records that discovery has confirmed the list, or sent all changes.
     pub fn confirm(&mut self, now: Micros) {
-        let for_good = self.trust.unasked || !self.trust.heartbeats;
-        let until = if for_good { Micros::MAX } else { now + self.trust.lasts };
+        let is_unlimited = self.terms.is_pushed || !self.terms.has_heartbeats;
+        let until = if is_unlimited { Micros::MAX } else { now + self.terms.duration };
         self.list = LeaseBasis { source: LeaseSource::Discovery, until };
         self.newer = None;
-        self.moved_bound = None;
+        self.moved_deadline = None;
         self.unread_at = None;
-        // Others' words are no newer than this one.
+        // Confirmations by other fronts are no newer than this one.
         self.machines.clear();
     }
 
-    /// A call failed, or the subscription ended if one `stood`.
-    pub fn lose_subscription(&mut self, now: Micros, stood: bool) {
-        if stood && !self.trust.unasked && !self.trust.heartbeats {
-            self.list.until = now + self.trust.lasts;
+    /// Records that a call failed, or that the subscription ended if `was_subscribed` is set.
+    pub fn lose_subscription(&mut self, now: Micros, was_subscribed: bool) {
+        if was_subscribed && !self.terms.is_pushed && !self.terms.has_heartbeats {
+            self.list.until = now + self.terms.duration;
         }
     }
 
-    /// Discovery told something that could not be read, and it counts as told, whoever vouched for what before.
-    pub fn miss_changes(&mut self, now: Micros) {
-        if self.trust.unasked {
+    /// Records that discovery sent changes that could not be read. The front must act on them at once, so earlier
+    /// confirmations are void, whichever front they came from.
+    pub fn on_unread_changes(&mut self, now: Micros) {
+        if self.terms.is_pushed {
             return;
         }
         self.end_list_by(now);
@@ -140,94 +144,100 @@
         self.unread_at = Some(now);
     }
 
-    /// Discovery is elsewhere from now on. What it has counts as told sooner than after a mere silence, whoever else vouches:
-    /// another front's word may be of the old address, or from before a change that counts as told by then.
+    /// Records that discovery has moved. The front must act on the list at the new address sooner than after mere
+    /// silence, whatever other fronts confirm: their confirmation may be from the old address, or from before a
+    /// change on which this front must act by then.
     pub fn discovery_moved(&mut self, now: Micros) {
-        if self.trust.unasked {
+        if self.terms.is_pushed {
             return;
         }
-        let bound = now + MOVED_TOLD_WITHIN;
-        self.moved_bound = Some(self.moved_bound.map_or(bound, |earlier| earlier.min(bound)));
+        let deadline = now + MOVED_CHANGE_DEADLINE;
+        self.moved_deadline = Some(self.moved_deadline.map_or(deadline, |earlier| earlier.min(deadline)));
     }
 
-    /// Whether discovery has moved and has not been heard at its new address.
+    /// Returns whether discovery has moved and has not answered at its new address.
     pub fn awaits_moved_discovery(&self) -> bool {
-        self.moved_bound.is_some()
+        self.moved_deadline.is_some()
     }
 
-    /// When a lease ends: the least of the bounds that apply. Where nobody reaches discovery, there is nothing to be told of.
+    /// Returns when a lease ends: at the earliest of the limits that apply. While no front can reach discovery, there
+    /// are no changes to receive, so a move does not limit an outage lease.
     fn end(&self, basis: LeaseBasis) -> Micros {
-        match (basis.source, self.moved_bound) {
+        match (basis.source, self.moved_deadline) {
             (LeaseSource::Outage, _) | (_, None) => basis.until,
-            (_, Some(bound)) => basis.until.min(bound),
+            (_, Some(deadline)) => basis.until.min(deadline),
         }
     }
 
-    /// The lease as it stands, if it is valid.
+    /// Returns the lease with its actual end, if it is valid.
     fn valid(&self, now: Micros, basis: LeaseBasis) -> Option<LeaseBasis> {
         let until = self.end(basis);
         (now < until).then_some(LeaseBasis { until, ..basis })
     }
 
-    /// The list as a whole holds until `at` at the latest; one that comes unasked needs no lease and keeps standing.
+    /// Ends the lease on the whole list at `at` at the latest; a list that is pushed needs no lease and stays valid.
     fn end_list_by(&mut self, at: Micros) {
-        if !self.trust.unasked {
+        if !self.terms.is_pushed {
             self.list.until = self.list.until.min(at);
         }
     }
 
-    /// Another front vouches for machines, each confirmed by discovery at its time, by a list confirmed at `confirmed`. How long
-    /// that may be used is for this front to say, by its own bounds.
+    /// Extends leases on machines that another front confirmed, each with the time at which discovery confirmed it,
+    /// from a list confirmed at `confirmed_at`. This front alone decides how long it may use them, by its own limits.
     pub fn confirm_by_peer(
         &mut self,
         now: Micros,
         machines: BTreeMap<MachineId, Micros>,
-        confirmed: Micros,
+        confirmed_at: Micros,
         version: u64,
     ) {
-        if self.unread_at.is_some_and(|unread| confirmed < unread) {
+        if self.unread_at.is_some_and(|unread| confirmed_at < unread) {
             return;
         }
-        let list_until = confirmed + self.trust.lasts;
-        let own_holds = self.is_from_discovery() && self.valid(now, self.list).is_some();
-        if own_holds && self.list.until >= list_until {
+        let list_until = confirmed_at + self.terms.duration;
+        let own_list_is_valid = self.is_from_discovery() && self.valid(now, self.list).is_some();
+        if own_list_is_valid && self.list.until >= list_until {
             return;
         }
-        let read = |at: &Micros| self.unread_at.is_none_or(|unread| *at >= unread);
-        let machines: BTreeMap<MachineId, Micros> = machines.into_iter().filter(|m| read(&m.1)).collect();
-        for (machine, confirmed) in &machines {
-            let until = confirmed + self.trust.lasts;
+        let is_new_enough = |at: &Micros| self.unread_at.is_none_or(|unread| *at >= unread);
+        let machines: BTreeMap<MachineId, Micros> =
+            machines.into_iter().filter(|m| is_new_enough(&m.1)).collect();
+        for (machine, confirmed_at) in &machines {
+            let until = confirmed_at + self.terms.duration;
             self.extend(*machine, LeaseBasis { source: LeaseSource::Peer, until });
         }
         let machines = machines.into_keys().collect();
-        self.know_newer(NewerList { until: list_until, version, machines });
-        // Somebody knows better: what only stood because nobody did falls.
-        if !own_holds {
+        self.record_newer(NewerList { until: list_until, version, machines });
+        // Another front has newer knowledge, so a lease that was valid only because no front had any ends.
+        if !own_list_is_valid {
             self.end_list_by(now);
         }
     }
 
-    /// A front that cannot reach discovery last knew a newer list, in which these machines were as this front knows them.
+    /// Records that a front that cannot reach discovery last knew a newer list, in which these machines were
+    /// unchanged from this front's list.
     pub fn record_last_known(&mut self, version: u64, machines: Vec<MachineId>) {
-        // What this front was told and could not read may be newer still.
+        // The changes that this front received and could not read may be newer still.
         if self.unread_at.is_some() {
             return;
         }
-        self.know_newer(NewerList { until: 0, version, machines });
+        self.record_newer(NewerList { until: 0, version, machines });
     }
 
-    fn know_newer(&mut self, newer: NewerList) {
-        // Danger: in an outage the newest list has no lease left, and one from before it still may.
+    fn record_newer(&mut self, newer: NewerList) {
+        // In an outage the newest list may have no lease left while an older one still has, so versions are compared
+        // first.
         let is_newer = |held: &NewerList| (held.version, held.until) <= (newer.version, newer.until);
         if self.newer.as_ref().is_none_or(is_newer) {
             self.newer = Some(newer);
         }
     }
 
-    /// No other front can reach discovery either: nobody knows of a change, and what was known last stays in use. Nothing was
-    /// missed up to then at least; what changed right after that counts as told as long after it as on any other day.
+    /// Records that no other front can reach discovery either: no front knows of a change, and the last known list
+    /// stays in use. Nothing was missed up to `nothing_missed_until` at least; a change right after that moment has
+    /// the usual deadline.
     pub fn assume_outage(&mut self, now: Micros, nothing_missed_until: Micros) {
-        let until = (now + OUTAGE_LASTS).min(nothing_missed_until + self.trust.lasts);
+        let until = (now + OUTAGE_LEASE_DURATION).min(nothing_missed_until + self.terms.duration);
         if until <= now {
             return;
         }
@@ -245,7 +255,7 @@
         }
     }
 
-    /// Discovery is at work: what stood because it seemed not to be falls.
+    /// Ends the leases that were valid only because discovery seemed to be down.
     pub fn end_outage(&mut self, now: Micros) {
         if matches!(self.list.source, LeaseSource::Outage | LeaseSource::Cache) {
             self.end_list_by(now);
@@ -260,68 +270,71 @@
         }
     }
 
-    /// The longest lease on this machine, if one is valid.
+    /// Returns the lease on this machine, if one is valid: that on the whole list first, then that on the machine
+    /// alone.
     pub fn lease_basis(&self, now: Micros, machine: MachineId) -> Option<LeaseBasis> {
         let single = || self.machines.get(&machine).and_then(|held| self.valid(now, *held));
         self.valid(now, self.list).or_else(single)
     }
 
-    /// How long ago discovery confirmed a machine, if this front may vouch for it towards others: by its own confirmed list or
-    /// by another front's. What it knows from an address that it has been told to leave is not passed on.
+    /// Returns how long ago discovery confirmed a machine, if this front may confirm it to others, by its own
+    /// confirmed list or by another front's. Knowledge from an address that discovery has left is not passed on.
     pub fn confirmation_age(&self, now: Micros, machine: MachineId) -> Option<Micros> {
         if self.awaits_moved_discovery() {
             return None;
         }
         let list = self.is_from_discovery().then_some(self.list);
-        let own = self.machines.get(&machine).filter(|m| m.source == LeaseSource::Peer).copied();
-        let until = list.into_iter().chain(own).map(|b| b.until).max()?;
+        let peer_lease = self.machines.get(&machine).filter(|m| m.source == LeaseSource::Peer).copied();
+        let until = list.into_iter().chain(peer_lease).map(|b| b.until).max()?;
         self.age(now, until)
     }
 
-    /// How long ago discovery confirmed the newest list that this front knows of and that holds, its own or another front's.
+    /// Returns how long ago discovery confirmed the newest valid list that this front knows of, its own or another
+    /// front's.
     pub fn list_age(&self, now: Micros) -> Option<Micros> {
         if self.awaits_moved_discovery() {
             return None;
         }
-        let own = if self.is_from_discovery() { self.list.until } else { 0 };
-        self.age(now, own.max(self.peer_confirmed_until()))
+        let own_until = if self.is_from_discovery() { self.list.until } else { 0 };
+        self.age(now, own_until.max(self.peer_confirmed_until()))
     }
 
-    /// How long ago a lease that holds until then was confirmed. One that stands for good counts as just confirmed.
+    /// Returns how long ago a lease that ends at `until` was confirmed. A lease without an end counts as just
+    /// confirmed.
     fn age(&self, now: Micros, until: Micros) -> Option<Micros> {
-        let left = until.min(now + self.trust.lasts).saturating_sub(now);
-        (left > 0).then(|| self.trust.lasts - left)
+        let remaining = until.min(now + self.terms.duration).saturating_sub(now);
+        (remaining > 0).then(|| self.terms.duration - remaining)
     }
 
-    /// The version of the newest list known of, this front's own, of version `own`, among them.
-    pub fn newest_version(&self, own: u64) -> u64 {
-        self.newer.as_ref().map_or(own, |newer| newer.version.max(own))
+    /// Returns the version of the newest known list, this front's own version `own_version` included.
+    pub fn newest_version(&self, own_version: u64) -> u64 {
+        self.newer.as_ref().map_or(own_version, |newer| newer.version.max(own_version))
     }
 
-    /// Until when the list as a whole may be used.
+    /// Returns when the lease on the whole list ends.
     pub fn list_until(&self) -> Micros {
         self.end(self.list)
     }
 
-    /// The list as a whole stands on discovery's word.
+    /// Returns whether the whole list was confirmed by discovery.
     pub fn is_from_discovery(&self) -> bool {
         self.list.source == LeaseSource::Discovery
     }
 
-    /// Until when the last list holds by which other fronts vouched for machines.
+    /// Returns when the lease ends of the newest list by which other fronts confirmed machines.
     pub fn peer_confirmed_until(&self) -> Micros {
         let until = self.newer.as_ref().map_or(0, |newer| newer.until);
-        self.moved_bound.map_or(until, |bound| until.min(bound))
+        self.moved_deadline.map_or(until, |deadline| until.min(deadline))
     }
 
-    /// The best source that any valid lease has.
+    /// Returns the best source of any valid lease.
     pub fn source(&self, now: Micros) -> LeaseSource {
         let machines = self.machines.values().filter_map(|m| self.valid(now, *m)).map(|m| m.source).max();
         let list = self.valid(now, self.list).map(|list| list.source);
         list.max(machines).unwrap_or(LeaseSource::None)
     }
 
-    /// Forgets machines that are not kept.
+    /// Drops machines for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(MachineId) -> bool) {
         self.machines.retain(|m, _| keep(*m));
     }
--- a/crates/yarrowspoke/src/membership/origin.rs
+++ b/crates/yarrowspoke/src/membership/origin.rs
@@ -1,47 +1,48 @@
-//! Which discovery a word about the list is of.
+//! The discovery that information about the list comes from.
 //!
-//! While a new configuration spreads over a fleet, some fronts know the list from where discovery was and some from where it
-//! is. Each names its source by a digest of the address at which it reaches discovery. Deployments differ in whether all
-//! fronts reach it at one address, so another name proves nothing by itself; it does once the own one has been heard.
+//! While a new configuration spreads over a fleet, some fronts know the list from the old address of discovery and
+//! some from the new one. Each identifies its discovery by a digest of the address at which it reaches it.
+//! Deployments differ in whether all fronts use the same address, so another identifier alone proves nothing; it does
+//! once another front has sent this front's own identifier.
 
 use crate::interface::{DiscoveryId, Micros};
 
-/// A new configuration has reached all fronts this long after the first one.
-const CONFIGURATION_SPREADS_WITHIN: Micros = 30_000_000;
+/// A new configuration has reached all fronts within this time after the first one.
+const CONFIGURATION_SPREAD_TIME: Micros = 30_000_000;
 
-/// The source that this front knows the list from, and what it has heard of others' sources.
+/// The discovery that this front's list comes from, and what is known of the discovery of other fronts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DiscoveryOrigin {
-    source: DiscoveryId,
+    discovery_id: DiscoveryId,
     /// When discovery last moved.
     moved_at: Option<Micros>,
-    /// Another front named the same source since then.
+    /// Another front has sent the same identifier since then.
     is_shared: bool,
 }
 
 impl DiscoveryOrigin {
-    /// What other fronts are told.
+    /// Returns the identifier that is sent to other fronts.
     pub fn discovery_id(&self) -> DiscoveryId {
-        self.source
+        self.discovery_id
     }
 
-    /// Discovery is at this source from the start on.
-    pub fn set_initial(&mut self, source: DiscoveryId) {
-        *self = Self { source, ..Self::default() };
+    /// Sets the discovery that is used from the start.
+    pub fn set_initial(&mut self, discovery_id: DiscoveryId) {
+        *self = Self { discovery_id, ..Self::default() };
     }
 
-    /// Discovery is at this source from now on.
-    pub fn move_to(&mut self, now: Micros, source: DiscoveryId) {
-        *self = Self { source, moved_at: Some(now), is_shared: false };
+    /// Records that discovery has moved.
+    pub fn move_to(&mut self, now: Micros, discovery_id: DiscoveryId) {
+        *self = Self { discovery_id, moved_at: Some(now), is_shared: false };
     }
 
-    /// Whether a word of that source may be of the one that this front goes by.
-    pub fn accepts(&mut self, now: Micros, source: DiscoveryId) -> bool {
-        if source == self.source {
+    /// Returns whether information from that discovery may be about the one that this front uses.
+    pub fn accepts(&mut self, now: Micros, discovery_id: DiscoveryId) -> bool {
+        if discovery_id == self.discovery_id {
             self.is_shared = true;
             return true;
         }
-        let is_settled = self.moved_at.is_none_or(|at| now >= at + CONFIGURATION_SPREADS_WITHIN);
+        let is_settled = self.moved_at.is_none_or(|at| now >= at + CONFIGURATION_SPREAD_TIME);
         is_settled && !self.is_shared
     }
 }
--- a/crates/yarrowspoke/src/membership/outage.rs
+++ b/crates/yarrowspoke/src/membership/outage.rs
@@ -1,116 +1,123 @@
-//! Whether discovery is out of reach of every front, and up to when that has been seen.
+//! Detects an outage: whether no front can reach discovery, and up to what time that is known.
 //!
-//! In an outage nothing new is told, so the list from before stays in use. That discovery is out of reach is evidence as
-//! well, and it ages: it is of the moment at which some front last called in vain, and of none after it. Discovery may have
-//! returned right then, so what it had to tell counts as told so long after that moment as after any silence.
+//! In an outage no changes are received, so the last known list stays in use. The evidence that discovery is
+//! unreachable ages as well: it is valid for the moment at which some front made the last failed call, and for no
+//! later one. Discovery may have returned right after that moment, so a front must act on its changes as long after
+//! it as after any silence.
 //!
-//! A call to a discovery that is down fails as one to a discovery with a long queue does. A queue begins empty, though, and
-//! somebody is answered. Who was answered, be it by what cannot be read, knows that discovery is at work. From then on there
-//! is something that has not been told, and no later failure takes that back; only a list that discovery confirmed later
-//! does.
+//! A call to a discovery that is down fails in the same way as one to a discovery with a long queue. A queue starts
+//! empty, however, so some front is answered. A front that was answered, even by a response that it cannot read,
+//! knows that discovery is up. From then on there may be changes that were not received, and no later failure takes
+//! that back; only a list that discovery confirmed later does.
 
 use crate::interface::Micros;
 use std::collections::BTreeMap;
 
-/// Fronts that must have said lately that they cannot reach discovery before that counts for all of them.
-const REPORTS_ENOUGH: usize = 3;
-/// How long ago is lately.
-const REPORT_LASTS: Micros = 2_000_000;
-/// How long it counts that another front's list was confirmed.
-const AT_WORK_LASTS: Micros = 6_000_000;
+/// Number of fronts that must have reported recently that they cannot reach discovery before an outage is assumed for
+/// all.
+const MIN_REPORTS: usize = 3;
+/// How long such a report is valid.
+const REPORT_LIFETIME: Micros = 2_000_000;
+/// How long the confirmed list of another front proves that discovery is up.
+const PEER_CONFIRMATION_LIFETIME: Micros = 6_000_000;
 
-/// What is known of an outage of discovery. All times are of when something happened, not of when it was heard of.
+/// What is known of an outage of discovery. All times are those at which something happened, not those at which this
+/// front learned of it.
 #[derive(Clone)]
 pub struct Outage {
-    /// Reports that are enough.
-    enough: usize,
-    /// Fronts that said lately that they cannot reach discovery, and when they said so.
+    /// Number of reports needed.
+    min_reports: usize,
+    /// Fronts that reported recently that they cannot reach discovery, and when their reports arrived.
     reports: BTreeMap<u16, Micros>,
-    /// The latest moment up to which nothing was missed: discovery had told all, or some front called it in vain.
+    /// The latest time up to which no change was missed: discovery had sent all changes, or a call by some front
+    /// failed.
     nothing_missed_until: Option<Micros>,
-    /// When discovery last confirmed a list, to this front or to another that vouched for it.
-    confirmed: Option<Micros>,
-    /// Until when the confirmed list of another front tells that discovery is at work.
-    at_work_until: Micros,
-    /// Discovery was at work then, and has confirmed no list since: what it had to tell is not known.
-    unread: Option<Micros>,
+    /// When discovery last confirmed a list, to this front or to another that confirmed it.
+    confirmed_at: Option<Micros>,
+    /// Until when another front's confirmed list proves that discovery is up.
+    known_up_until: Micros,
+    /// Discovery was up at this time and has confirmed no list since: its changes of that time are not known.
+    unread_since: Option<Micros>,
 }
 
 impl Outage {
-    /// Nothing is known yet, among so many fronts.
+    /// Creates the state of a front that knows nothing yet, in a fleet of `fronts` fronts.
     pub fn new(fronts: u32) -> Self {
         let others = fronts.saturating_sub(1) as usize;
         Self {
-            enough: REPORTS_ENOUGH.min(others),
+            min_reports: MIN_REPORTS.min(others),
             reports: BTreeMap::new(),
             nothing_missed_until: None,
-            confirmed: None,
-            at_work_until: 0,
-            unread: None,
+            confirmed_at: None,
+            known_up_until: 0,
+            unread_since: None,
         }
     }
 
-    /// Discovery has confirmed this front's list.
+    /// Records that discovery has confirmed this front's list.
     pub fn confirm(&mut self, at: Micros) {
-        self.confirmed = self.confirmed.max(Some(at));
+        self.confirmed_at = self.confirmed_at.max(Some(at));
         self.record_nothing_missed(at);
-        self.unread = self.unread.filter(|unread| *unread > at);
+        self.unread_since = self.unread_since.filter(|unread_since| *unread_since > at);
     }
 
-    /// Discovery has confirmed another front's list.
+    /// Records that discovery has confirmed another front's list.
     pub fn confirm_by_peer(&mut self, at: Micros) {
         self.reports.clear();
-        // Danger: among many that a crowd keeps waiting, three in a row say that they reach nothing.
-        self.at_work_until = self.at_work_until.max(at + AT_WORK_LASTS);
+        // Without this, where an overload keeps many fronts waiting, three reports in a row that discovery is
+        // unreachable would count as an outage.
+        self.known_up_until = self.known_up_until.max(at + PEER_CONFIRMATION_LIFETIME);
         self.confirm(at);
     }
 
-    /// Discovery answered this front or another at `at`, unreadably.
-    pub fn answered_unreadably(&mut self, at: Micros) {
+    /// Records that discovery answered this front or another at `at` with a response that could not be read.
+    pub fn on_unreadable_answer(&mut self, at: Micros) {
         self.reports.clear();
-        if self.confirmed.is_none_or(|confirmed| confirmed < at) {
-            self.unread = self.unread.max(Some(at));
+        if self.confirmed_at.is_none_or(|confirmed_at| confirmed_at < at) {
+            self.unread_since = self.unread_since.max(Some(at));
         }
     }
 
-    /// A call that some front made at `at` failed.
+    /// Records that no change was missed up to `at`: discovery confirmed a list then, or a call made then by some
+    /// front failed.
     pub fn record_nothing_missed(&mut self, at: Micros) {
         self.nothing_missed_until = self.nothing_missed_until.max(Some(at));
     }
 
-    /// Another front cannot reach discovery, and knows of nothing missed up to `nothing_missed_until`.
+    /// Records that another front cannot reach discovery, and knows of no change missed up to `nothing_missed_until`.
     pub fn record_report(&mut self, now: Micros, front: u16, nothing_missed_until: Micros) {
         self.reports.insert(front, now);
         self.record_nothing_missed(nothing_missed_until);
     }
 
-    /// Discovery is elsewhere: all that is known is of where it was.
+    /// Records that discovery has moved: all that is known is about the old address.
     pub fn discovery_moved(&mut self) {
         self.reports.clear();
         self.nothing_missed_until = None;
-        self.confirmed = None;
-        self.unread = None;
+        self.confirmed_at = None;
+        self.unread_since = None;
     }
 
-    /// Up to when nothing was missed, as far as this front knows.
+    /// Returns the time up to which no change was missed, as far as this front knows.
     pub fn nothing_missed_until(&self) -> Option<Micros> {
         self.nothing_missed_until
     }
 
-    /// When discovery was last at work, if what it had to tell then is not known.
+    /// Returns when discovery was last up, if its changes of that time are not known.
     pub fn unread_since(&self) -> Option<Micros> {
-        self.unread
+        self.unread_since
     }
 
-    /// Nothing tells that discovery is at work.
+    /// Returns whether nothing shows that discovery is up.
     pub fn is_possible(&self, now: Micros) -> bool {
-        self.unread.is_none() && now >= self.at_work_until
+        self.unread_since.is_none() && now >= self.known_up_until
     }
 
-    /// Up to when nothing was missed, if enough fronts say that they cannot reach discovery and nothing speaks against it.
+    /// Returns the time up to which no change was missed, if enough fronts report that they cannot reach discovery
+    /// and nothing shows that it is up.
     pub fn agreed_nothing_missed_until(&mut self, now: Micros) -> Option<Micros> {
-        self.reports.retain(|_, at| now < *at + REPORT_LASTS);
-        let agree = self.reports.len() >= self.enough && self.is_possible(now);
-        self.nothing_missed_until.filter(|_| agree)
+        self.reports.retain(|_, at| now < *at + REPORT_LIFETIME);
+        let is_agreed = self.reports.len() >= self.min_reports && self.is_possible(now);
+        self.nothing_missed_until.filter(|_| is_agreed)
     }
 }
--- a/crates/yarrowspoke/src/membership/peers.rs
+++ b/crates/yarrowspoke/src/membership/peers.rs
@@ -1,52 +1,52 @@
-//! Asking other fronts about the list: whom, how often, and what their answers come to.
+//! Queries to other fronts about the list: to which fronts, how often, and how their answers are interpreted.
 
 use super::message::{Confirmation, Standing, Subscription};
 use crate::interface::Micros;
 use rand_core::RngCore;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Fronts asked at once.
-const ASKED_AT_ONCE: usize = 3;
-/// Least time from one round of questions to the next...
-const ROUND: Micros = 500_000;
-/// ...and where no machine may be sent to meanwhile.
-const URGENT_ROUND: Micros = 100_000;
-/// An answer that takes longer is not used: what it says is older than it seems worth.
-const ANSWER_WITHIN: Micros = 1_000_000;
-/// Answers by which a front reckons how many others are without a list, at least and at most.
-const CROWD_SEEN: usize = 3;
-const CROWD_MOST: usize = 12;
-/// How long an answer counts for that.
-const CROWD_LASTS: Micros = 2_000_000;
+/// Number of queries in one round.
+const QUERIES_PER_ROUND: usize = 3;
+/// Minimum time between rounds of queries.
+const ROUND_INTERVAL: Micros = 500_000;
+/// Minimum time between rounds while no machine may be sent to.
+const URGENT_ROUND_INTERVAL: Micros = 100_000;
+/// An answer that takes longer is not used: its content is too old to be of use.
+const ANSWER_TIMEOUT: Micros = 1_000_000;
+/// Minimum and maximum number of answers from which the share of fronts without a subscription is estimated.
+const MIN_SUBSCRIPTION_SAMPLES: usize = 3;
+const MAX_SUBSCRIPTION_SAMPLES: usize = 12;
+/// How long an answer is used for that estimate.
+const SUBSCRIPTION_SAMPLE_LIFETIME: Micros = 2_000_000;
 
-/// A question whose answer is to come.
+/// A query that has not been answered yet.
 #[derive(Clone, Copy, Debug)]
-struct Question {
+struct PendingQuery {
     peer: u16,
     nonce: u32,
-    asked: Micros,
+    sent_at: Micros,
 }
 
-/// What an answer comes to.
+/// The meaning of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerReply {
     /// The front has a confirmed list.
     Confirmed {
-        /// When discovery confirmed it.
-        confirmed: Micros,
+        /// When discovery confirmed that list.
+        confirmed_at: Micros,
         /// Machines by fingerprint, and when discovery confirmed each.
         machines: BTreeMap<u32, Micros>,
     },
     /// The front cannot reach discovery.
     Unreachable {
-        /// Nothing that discovery had to tell was missed up to then.
+        /// No change by discovery was missed up to this time.
         nothing_missed_until: Micros,
-        /// Machines that it last knew, by fingerprint.
+        /// Fingerprints of the machines that it last knew.
         last_known: Vec<u32>,
     },
-    /// Discovery was at work then, though the front has nothing of it.
+    /// Discovery was up, but the front has no usable response of it.
     Unreadable {
-        /// When it was.
+        /// When discovery was up.
         at: Micros,
     },
     /// The front knows nothing of discovery.
@@ -54,17 +54,17 @@
 }
 
 impl PeerReply {
-    /// What the answer of a front comes to that was asked at `asked`.
-    pub fn of(asked: Micros, standing: Standing, vouched: &[Confirmation]) -> Self {
-        // Counted from the question, which came before the answer was thought of.
-        let before = |age| asked.saturating_sub(age);
+    /// Interprets the answer to a query that was sent at `query_sent_at`.
+    pub fn from_answer(query_sent_at: Micros, standing: Standing, confirmations: &[Confirmation]) -> Self {
+        // Ages are counted back from when the query was sent, which is before the answer was written.
+        let before = |age| query_sent_at.saturating_sub(age);
         match standing {
             Standing::Confirmed(age) => {
-                let machines = vouched.iter().map(|v| (v.fingerprint, before(v.age))).collect();
-                Self::Confirmed { confirmed: before(age), machines }
+                let machines = confirmations.iter().map(|v| (v.fingerprint, before(v.age))).collect();
+                Self::Confirmed { confirmed_at: before(age), machines }
             }
             Standing::Unreachable(age) => {
-                let last_known = vouched.iter().map(|v| v.fingerprint).collect();
+                let last_known = confirmations.iter().map(|v| v.fingerprint).collect();
                 Self::Unreachable { nothing_missed_until: before(age), last_known }
             }
             Standing::Unreadable(age) => Self::Unreadable { at: before(age) },
@@ -73,97 +73,100 @@
     }
 }
 
-/// Other fronts' subscriptions, as far as they told of them lately.
+/// The subscriptions of other fronts, estimated from their recent answers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerSubscriptions {
-    /// Part of the fronts that have none.
+    /// Share of the fronts that have none.
     pub waiting_share: f64,
-    /// The least time that one of them took to open one lately: what a call costs a discovery that is not busy.
+    /// The shortest time that one of them recently took to open one: the cost of a call to a discovery that is not
+    /// busy.
     pub call_cost: Option<Micros>,
 }
 
-/// An answer of another front, as far as it tells of its subscription.
+/// The state of another front's subscription, from one of its answers.
 #[derive(Clone, Copy, Debug)]
-struct Heartbeat {
+struct SubscriptionSample {
     at: Micros,
     subscription: Subscription,
 }
 
-/// The questions of one front.
+/// The queries of one front.
 #[derive(Clone)]
 pub struct PeerQueries {
-    me: u32,
+    front_id: u32,
     fronts: u32,
-    asked: Micros,
-    questions: VecDeque<Question>,
+    last_round_at: Micros,
+    pending: VecDeque<PendingQuery>,
     /// The last answers.
-    answers: VecDeque<Heartbeat>,
+    samples: VecDeque<SubscriptionSample>,
 }
 
 impl PeerQueries {
-    /// Front `me` of `fronts`, which asks from `now` on.
-    pub fn new(me: u32, fronts: u32, now: Micros) -> Self {
+    /// Creates the state of front `front_id` of `fronts`, which may send queries from `now` on.
+    pub fn new(front_id: u32, fronts: u32, now: Micros) -> Self {
         Self {
-            me,
+            front_id,
             fronts,
-            asked: now.saturating_sub(ROUND),
-            questions: VecDeque::new(),
-            answers: VecDeque::new(),
+            last_round_at: now.saturating_sub(ROUND_INTERVAL),
+            pending: VecDeque::new(),
+            samples: VecDeque::new(),
         }
     }
 
-    /// Fronts to ask now, with a nonce for each; none if the last round is too recent.
+    /// Returns the fronts to query now, with a nonce for each; none if the last round is too recent.
     pub fn next_queries(&mut self, now: Micros, urgent: bool, random: &mut impl RngCore) -> Vec<(u16, u32)> {
-        let pause = if urgent { URGENT_ROUND } else { ROUND };
-        if now < self.asked + pause {
+        let interval = if urgent { URGENT_ROUND_INTERVAL } else { ROUND_INTERVAL };
+        if now < self.last_round_at + interval {
             return Vec::new();
         }
-        self.asked = now;
-        self.questions.retain(|q| now < q.asked + ANSWER_WITHIN);
-        let mut asked = Vec::new();
-        for _ in 0..ASKED_AT_ONCE {
-            let Some(peer) = self.draw(random) else { continue };
+        self.last_round_at = now;
+        self.pending.retain(|q| now < q.sent_at + ANSWER_TIMEOUT);
+        let mut queries = Vec::new();
+        for _ in 0..QUERIES_PER_ROUND {
+            let Some(peer) = self.pick_peer(random) else { continue };
             let nonce = random.next_u32();
-            self.questions.push_back(Question { peer, nonce, asked: now });
-            asked.push((peer, nonce));
+            self.pending.push_back(PendingQuery { peer, nonce, sent_at: now });
+            queries.push((peer, nonce));
         }
-        asked
+        queries
     }
 
-    /// Any other front.
-    fn draw(&self, random: &mut impl RngCore) -> Option<u16> {
+    /// Picks any other front at random.
+    fn pick_peer(&self, random: &mut impl RngCore) -> Option<u16> {
         let others = self.fronts.checked_sub(1).filter(|n| *n > 0)?;
         let step = 1 + (random.next_u64() % u64::from(others)) as u32;
-        u16::try_from((self.me + step) % self.fronts).ok()
+        u16::try_from((self.front_id + step) % self.fronts).ok()
     }
 
-    /// Something has changed in how discovery is reached: what others told of their subscriptions is from before.
+    /// Drops the subscriptions of other fronts: the way discovery is reached has changed since their answers.
     pub fn forget_subscriptions(&mut self) {
-        self.answers.clear();
+        self.samples.clear();
     }
 
-    /// When the question that this answers was asked; `None` if nothing of the kind was asked, or too long ago.
+    /// Returns when the query with this answer was sent; `None` if there was no such query, or it was sent too long
+    /// ago.
     pub fn take_query(&mut self, now: Micros, peer: u16, nonce: u32) -> Option<Micros> {
-        let at = self.questions.iter().position(|q| q.peer == peer && q.nonce == nonce)?;
-        let question = self.questions.remove(at)?;
-        (now < question.asked + ANSWER_WITHIN).then_some(question.asked)
+        let at = self.pending.iter().position(|q| q.peer == peer && q.nonce == nonce)?;
+        let query = self.pending.remove(at)?;
+        (now < query.sent_at + ANSWER_TIMEOUT).then_some(query.sent_at)
     }
 
-    /// Takes note of another front's subscription. The crowd, as far as fronts answered lately; `None` if too few did.
+    /// Records the state of another front's subscription. Returns the estimate from recent answers, or `None` if
+    /// there are too few.
     pub fn record_subscription(
         &mut self,
         now: Micros,
         subscription: Subscription,
     ) -> Option<PeerSubscriptions> {
-        self.answers.push_back(Heartbeat { at: now, subscription });
-        if self.answers.len() > CROWD_MOST {
-            self.answers.pop_front();
+        self.samples.push_back(SubscriptionSample { at: now, subscription });
+        if self.samples.len() > MAX_SUBSCRIPTION_SAMPLES {
+            self.samples.pop_front();
         }
-        self.answers.retain(|answer| now < answer.at + CROWD_LASTS);
-        let enough = CROWD_SEEN.min(self.fronts.saturating_sub(1) as usize);
-        let subscriptions = || self.answers.iter().map(|answer| answer.subscription);
-        let (all, subscribed) = (self.answers.len(), subscriptions().filter(|s| s.is_open()).count());
-        (all >= enough && all > 0).then(|| PeerSubscriptions {
+        self.samples.retain(|sample| now < sample.at + SUBSCRIPTION_SAMPLE_LIFETIME);
+        let min_samples = MIN_SUBSCRIPTION_SAMPLES.min(self.fronts.saturating_sub(1) as usize);
+        let subscriptions = || self.samples.iter().map(|sample| sample.subscription);
+        let (all, subscribed) = (self.samples.len(), subscriptions().filter(|s| s.is_open()).count());
+        (all >= min_samples && all > 0).then(|| PeerSubscriptions {
             waiting_share: 1.0 - subscribed as f64 / all as f64,
             call_cost: subscriptions().filter_map(Subscription::opening_time).min(),
         })
--- a/crates/yarrowspoke/src/membership/schedule.rs
+++ b/crates/yarrowspoke/src/membership/schedule.rs
@@ -1,271 +1,284 @@
-//! When discovery is called for the list.
+//! The schedule of calls to discovery for the list.
 //!
-//! Discovery serves all fronts in turn and works also for callers that have given up. If each front calls again soon after a
-//! failure, calls come faster than they are served and all work is for callers that have left: an overload that feeds itself
-//! long after its cause (a metastable failure). So the fronts together must call more slowly than discovery can serve them,
-//! without knowing how fast that is: each calls once in the time that the settings give for asking, at a place in it of its
-//! own number's. Where calls fail because discovery is crowded, not down, that was still too fast, and each waits twice as
-//! long, up to four times: a queue drains only as far as calls come more slowly than they are served.
+//! Discovery serves all fronts in turn, and also works on calls whose callers have given up. If each front calls
+//! again soon after a failure, calls arrive faster than they are served and all work is done for callers that have
+//! left: an overload that sustains itself long after its cause (a metastable failure). So the fronts together must
+//! call more slowly than discovery can serve them, without knowing how fast that is: each calls once per list refresh
+//! interval of the settings, in a slot given by its front number. Where calls fail because discovery is overloaded,
+//! not down, that was still too fast, and each front doubles its wait, up to four times the interval: a queue drains
+//! only if calls arrive more slowly than they are served.
 //!
-//! That time is made for the worst: an outage of a slow discovery. Where other fronts tell how many of them wait and what a
-//! call costs (the time that the quickest took lately), the calls take just as long as that many need, and some to spare: a
-//! lease is renewed while it still holds.
+//! That interval is meant for the worst case, an outage of a slow discovery. Where other fronts report how many of
+//! them wait and what a call costs (the time that the quickest recently took), the calls are spread over just the
+//! time that so many calls need, with some to spare, so that a lease is renewed while it is still valid.
 
 use super::peers::PeerSubscriptions;
 use crate::interface::{Micros, Settings};
 use rand_core::RngCore;
 
-/// Least pause after a failure; as much again is drawn at random.
-const LEAST_PAUSE: Micros = 1_000_000;
+/// Minimum backoff after a failure; as much again is added at random.
+const MIN_BACKOFF: Micros = 1_000_000;
 /// A call without any answer for this long has failed.
-const ANSWER_LIMIT: Micros = 4_000_000;
-/// Part of the time given for asking over which the fronts spread their calls.
-const SPREAD_PART: f64 = 0.8;
-/// The time over which they spread them where the settings give none.
-const SPREAD: Micros = 8_000_000;
-/// After the first failed call, time for discovery to work off what a crowd left there.
-const COOL_OFF: Micros = 4_000_000;
-/// A call that fails sooner than this was turned away by a discovery that has too much to do.
-const TURNED_AWAY_WITHIN: Micros = 200_000;
-/// Failures in a row that count as a crowd where no other front can tell it from an outage.
-const CROWD_FROM: u32 = 2;
-/// A call that was answered so long ago tells nothing any more of what one costs.
-const OPENED_LATELY: Micros = 3_000_000;
-/// How much longer the fronts' calls take than discovery needs for them.
-const SPARE_TIME: f64 = 1.5;
-/// Times in a row that the wait is doubled.
-const MOST_DOUBLINGS: u32 = 2;
-/// The calls of all fronts come no further apart than this: what is known of an outage is no younger than the last of them.
-const MOST_APART: Micros = 4_000_000;
-/// Random part of each call's time, so that fronts of the same place in two fleets drift apart.
+const CALL_TIMEOUT: Micros = 4_000_000;
+/// Share of the list refresh interval over which the fronts spread their calls.
+const SPREAD_SHARE: f64 = 0.8;
+/// The time over which calls are spread if the settings give no interval.
+const DEFAULT_SPREAD: Micros = 8_000_000;
+/// After the first failed call, time for discovery to drain the queue that an overload left.
+const QUEUE_DRAIN_TIME: Micros = 4_000_000;
+/// A call that fails sooner than this was rejected by an overloaded discovery.
+const REJECTED_WITHIN: Micros = 200_000;
+/// Consecutive failures that count as an overload where no other front can tell it from an outage.
+const OVERLOAD_AFTER_FAILURES: u32 = 2;
+/// How long the time that an answered call took is used as the cost of a call.
+const OPENING_TIME_LIFETIME: Micros = 3_000_000;
+/// Ratio of the time over which calls are spread to the time that discovery needs for them.
+const SPARE_TIME_FACTOR: f64 = 1.5;
+/// Maximum number of times that the wait is doubled.
+const MAX_DOUBLINGS: u32 = 2;
+/// Calls of the whole fleet are no further apart than this, because evidence of an outage is only as recent as the
+/// last call.
+const MAX_CALL_SPACING: Micros = 4_000_000;
+/// Random part of each call's time, so that fronts with the same slot in two fleets drift apart.
 const JITTER: Micros = 100_000;
 
-/// The schedule of one front.
+/// The call schedule of one front.
 #[derive(Clone)]
 pub struct CallSchedule {
-    /// Span over which the fleet's calls are spread.
+    /// Time over which the fleet's calls are spread.
     spread: Micros,
-    /// This front's place in it, from 0 to below 1.
-    place: f64,
-    /// When to call; `None` while the subscription stands.
-    next: Option<Micros>,
-    /// The call that is out began then.
-    called: Option<Micros>,
-    /// Failures in a row...
+    /// This front's slot in it, from 0 to below 1.
+    slot: f64,
+    /// When to call next; `None` while the subscription is open.
+    next_call: Option<Micros>,
+    /// When the call in flight began.
+    call_began_at: Option<Micros>,
+    /// Consecutive failures.
     failures: u32,
-    /// ...and those of them that a crowd explains.
-    crowded: u32,
-    /// The least pause after the last failure ends then.
-    not_before: Micros,
-    /// Other fronts can tell a crowd from an outage.
-    talks: bool,
-    /// When the last failed call began, as long as it is not known whether a crowd explains it.
-    unexplained: Option<Micros>,
-    /// The subscription had stood and was lost, not given up by this front: discovery went away from it.
-    lost: bool,
-    /// How many fronts there are.
+    /// Those of the consecutive failures that an overload explains.
+    overload_failures: u32,
+    /// When the minimum backoff after the last failure ends.
+    backoff_until: Micros,
+    /// Other fronts are queried, and can tell an overload from an outage.
+    queries_peers: bool,
+    /// When the last failed call began, as long as it is not known whether an overload explains the failure.
+    unexplained_call_at: Option<Micros>,
+    /// An open subscription was ended by discovery, not by this front.
+    subscription_lost: bool,
+    /// Number of fronts.
     fronts: f64,
-    /// This front's part of the time that a crowd takes, drawn anew for each need of a call.
-    draw: f64,
-    /// When the last call that was answered was, and how long it took.
-    opened: Option<(Micros, Micros)>,
+    /// This front's random fraction of the time over which waiting fronts spread their calls, drawn anew for each
+    /// call that is needed.
+    random_fraction: f64,
+    /// When the last answered call was answered, and how long it took.
+    last_opening: Option<(Micros, Micros)>,
 }
 
 impl CallSchedule {
-    /// A schedule from the start on. Where fronts talk and can vouch for each other's machines meanwhile, the first call has
-    /// its place as well: fronts that start together would fill discovery's queue at once.
-    pub fn new(settings: &Settings, talks: bool, now: Micros, random: &mut impl RngCore) -> Self {
+    /// Creates the schedule of a front that has just started. Where fronts query each other and can confirm each
+    /// other's machines meanwhile, the first call is made in its slot too: fronts that start together would otherwise
+    /// fill discovery's queue at once.
+    pub fn new(settings: &Settings, queries_peers: bool, now: Micros, random: &mut impl RngCore) -> Self {
         let spread = match settings.list_refresh_interval {
-            0 => SPREAD,
-            within => (within as f64 * SPREAD_PART) as Micros,
+            0 => DEFAULT_SPREAD,
+            interval => (interval as f64 * SPREAD_SHARE) as Micros,
         };
         let fronts = f64::from(settings.fronts.max(1));
         let mut schedule = Self {
             spread,
-            place: (f64::from(settings.front_id) / fronts).fract(),
-            next: None,
-            called: None,
+            slot: (f64::from(settings.front_id) / fronts).fract(),
+            next_call: None,
+            call_began_at: None,
             failures: 0,
-            crowded: 0,
-            not_before: 0,
-            talks,
-            unexplained: None,
-            lost: false,
+            overload_failures: 0,
+            backoff_until: 0,
+            queries_peers,
+            unexplained_call_at: None,
+            subscription_lost: false,
             fronts,
-            draw: 0.0,
-            opened: None,
+            random_fraction: 0.0,
+            last_opening: None,
         };
         schedule.call_in_slot(now, random);
         schedule
     }
 
-    /// Part of crowding that is the other fronts': 0 for a front alone.
-    fn others(&self) -> f64 {
+    /// Returns the share of the load that comes from other fronts: 0 for a single front.
+    fn others_share(&self) -> f64 {
         1.0 - 1.0 / self.fronts
     }
 
-    /// How long after a moment that all fronts share this front's place comes.
-    fn until_place(&self) -> f64 {
-        self.others() * self.place * self.spread as f64
+    /// Returns how long after a moment common to all fronts this front's slot begins.
+    fn slot_offset(&self) -> f64 {
+        self.others_share() * self.slot * self.spread as f64
     }
 
-    /// Whether calls fail.
+    /// Returns whether calls fail.
     pub fn is_failing(&self) -> bool {
         self.failures > 0
     }
 
-    /// Whether discovery went away from this front and calls have failed since.
+    /// Returns whether discovery ended this front's subscription and calls have failed since.
     pub fn is_lost(&self) -> bool {
-        self.lost && self.is_failing()
+        self.subscription_lost && self.is_failing()
     }
 
-    /// Whether the subscription stands.
+    /// Returns whether the subscription is open.
     pub fn is_subscribed(&self) -> bool {
-        self.next.is_none()
+        self.next_call.is_none()
     }
 
-    /// When the next call is made; `None` while the subscription stands.
+    /// Returns when the next call is made; `None` while the subscription is open.
     pub fn next_call(&self) -> Option<Micros> {
-        self.next
+        self.next_call
     }
 
-    /// Whether to call now; if so, the call counts as made.
+    /// Returns whether to call now; if so, the call is recorded as started.
     pub fn start_due_call(&mut self, now: Micros, random: &mut impl RngCore) -> bool {
-        if self.next.is_none_or(|next| now < next) {
+        if self.next_call.is_none_or(|next| now < next) {
             return false;
         }
-        self.next = Some(now + ANSWER_LIMIT + below(LEAST_PAUSE, random));
-        self.called = Some(now);
+        self.next_call = Some(now + CALL_TIMEOUT + random_below(MIN_BACKOFF, random));
+        self.call_began_at = Some(now);
         true
     }
 
-    /// Discovery answered: the subscription stands.
+    /// Records that discovery answered, so the subscription is open.
     pub fn on_answer(&mut self, now: Micros) {
-        self.next = None;
-        if let Some(called) = self.called.take() {
-            self.opened = Some((now, now - called));
+        self.next_call = None;
+        if let Some(called) = self.call_began_at.take() {
+            self.last_opening = Some((now, now - called));
         }
         self.failures = 0;
-        self.crowded = 0;
-        self.unexplained = None;
-        self.lost = false;
+        self.overload_failures = 0;
+        self.unexplained_call_at = None;
+        self.subscription_lost = false;
     }
 
-    /// How long the last answered call took, if that was lately.
+    /// Returns how long the last answered call took, if that was recent.
     pub fn recent_opening_time(&self, now: Micros) -> Option<Micros> {
-        self.opened.filter(|opened| now < opened.0 + OPENED_LATELY).map(|opened| opened.1)
+        self.last_opening
+            .filter(|last_opening| now < last_opening.0 + OPENING_TIME_LIFETIME)
+            .map(|last_opening| last_opening.1)
     }
 
-    /// Whether a call is to be made and none is out.
+    /// Returns whether a call is to be made and none is in flight.
     pub fn is_waiting(&self) -> bool {
-        self.next.is_some() && self.called.is_none()
+        self.next_call.is_some() && self.call_began_at.is_none()
     }
 
-    /// Only a part of the fronts waits for a subscription: their calls take no longer than that part needs. As long as it is
-    /// not known that discovery is quick, that holds for first calls, which keep their order; whose call has failed keeps its
-    /// turn.
-    pub fn shorten_wait(&mut self, now: Micros, crowd: PeerSubscriptions) {
-        if !self.is_waiting() || self.crowded > 0 {
+    /// Shortens the wait where only a share of the fronts waits for a subscription: their calls are spread over no
+    /// longer than that share needs. As long as it is not known that discovery is quick, that applies to first calls
+    /// only, which keep their order; a front whose call has failed keeps its slot.
+    pub fn shorten_wait(&mut self, now: Micros, peers: PeerSubscriptions) {
+        if !self.is_waiting() || self.overload_failures > 0 {
             return;
         }
-        let wait = match self.time_for_all(crowd.call_cost) {
-            Some(time) => self.draw * crowd.waiting_share * time,
+        let wait = match self.time_for_all(peers.call_cost) {
+            Some(time) => self.random_fraction * peers.waiting_share * time,
             None if self.failures > 0 => return,
-            None => crowd.waiting_share * self.until_place(),
+            None => peers.waiting_share * self.slot_offset(),
         };
-        let sooner = (now + wait as Micros).max(self.not_before);
-        self.next = self.next.map(|next| next.min(sooner));
+        let sooner = (now + wait as Micros).max(self.backoff_until);
+        self.next_call = self.next_call.map(|next| next.min(sooner));
     }
 
-    /// The time over which calls of all fronts are spread where a call costs that much, if that is less than it is without.
+    /// Returns the time over which calls of all fronts are spread at this cost of a call, if that is less than the
+    /// default spread.
     fn time_for_all(&self, call_cost: Option<Micros>) -> Option<f64> {
-        let time = SPARE_TIME * self.fronts * call_cost? as f64;
+        let time = SPARE_TIME_FACTOR * self.fronts * call_cost? as f64;
         (time < self.spread as f64).then_some(time)
     }
 
-    /// The next call is made at `at`, whatever was planned.
+    /// Schedules the next call at `at`, replacing any other plan.
     pub fn call_at(&mut self, at: Micros) {
-        self.next = Some(at);
-        self.called = None;
+        self.next_call = Some(at);
+        self.call_began_at = None;
     }
 
-    /// All fronts are to call from now on: each at its place, where fronts can vouch meanwhile.
+    /// Schedules calls of all fronts from now on: each in its slot, where fronts can confirm each other's machines
+    /// meanwhile.
     pub fn call_in_slot(&mut self, now: Micros, random: &mut impl RngCore) {
-        self.draw_anew(random);
-        let wait = if self.talks { self.until_place() } else { 0.0 };
+        self.redraw_fraction(random);
+        let wait = if self.queries_peers { self.slot_offset() } else { 0.0 };
         self.call_at(now + wait as Micros);
     }
 
-    /// Discovery has moved: nothing is known of calls at its new address, and all fronts are to call there.
+    /// Records that discovery has moved: nothing is known of calls at its new address, and all fronts must call it.
     pub fn discovery_moved(&mut self, now: Micros, random: &mut impl RngCore) {
-        self.lost = false;
+        self.subscription_lost = false;
         self.failures = 0;
-        self.crowded = 0;
-        self.unexplained = None;
-        self.opened = None;
-        self.not_before = now;
+        self.overload_failures = 0;
+        self.unexplained_call_at = None;
+        self.last_opening = None;
+        self.backoff_until = now;
         self.call_in_slot(now, random);
     }
 
-    fn draw_anew(&mut self, random: &mut impl RngCore) {
-        self.draw = f64::from(random.next_u32()) / f64::from(u32::MAX);
+    fn redraw_fraction(&mut self, random: &mut impl RngCore) {
+        self.random_fraction = f64::from(random.next_u32()) / f64::from(u32::MAX);
     }
 
-    /// When the call that is out was made.
+    /// Returns when the call in flight was made.
     pub fn call_started_at(&self) -> Option<Micros> {
-        self.called
+        self.call_began_at
     }
 
-    /// A call failed, or the subscription ended; `at_work` if discovery has shown that it is.
-    pub fn on_failure(&mut self, now: Micros, at_work: bool, random: &mut impl RngCore) {
-        self.lost |= self.is_subscribed();
-        let called = self.called.take();
-        let turned_away = called.is_some_and(|at| now < at + TURNED_AWAY_WITHIN);
-        let unclear = !self.talks && self.failures >= CROWD_FROM;
-        let crowded = called.is_some() && (turned_away || at_work || unclear);
-        self.crowded += u32::from(crowded);
-        self.unexplained = called.filter(|_| !crowded);
+    /// Records that a call failed or the subscription ended; `is_up` states that discovery has shown that it is up.
+    pub fn on_failure(&mut self, now: Micros, is_up: bool, random: &mut impl RngCore) {
+        self.subscription_lost |= self.is_subscribed();
+        let called = self.call_began_at.take();
+        let was_rejected = called.is_some_and(|at| now < at + REJECTED_WITHIN);
+        let is_unclear = !self.queries_peers && self.failures >= OVERLOAD_AFTER_FAILURES;
+        let is_overload = called.is_some() && (was_rejected || is_up || is_unclear);
+        self.overload_failures += u32::from(is_overload);
+        self.unexplained_call_at = called.filter(|_| !is_overload);
         let next = match (self.failures, called) {
-            // The subscription ended, for all fronts at once more often than not.
-            (_, None) => now + self.until_place() as Micros,
-            (0, Some(_)) => now + (self.until_place() + self.others() * COOL_OFF as f64) as Micros,
-            // Each front keeps the place it once took: calls that are spread stay spread.
-            (_, Some(called)) => self.next_turn(called).max(now),
+            // The subscription ended, in most cases for all fronts at once.
+            (_, None) => now + self.slot_offset() as Micros,
+            (0, Some(_)) => {
+                now + (self.slot_offset() + self.others_share() * QUEUE_DRAIN_TIME as f64) as Micros
+            }
+            // Each front keeps its slot, so calls that are spread out stay so.
+            (_, Some(called)) => self.next_slot(called).max(now),
         };
-        let pause = LEAST_PAUSE + below(if self.others() > 0.0 { JITTER } else { LEAST_PAUSE }, random);
+        let backoff =
+            MIN_BACKOFF + random_below(if self.others_share() > 0.0 { JITTER } else { MIN_BACKOFF }, random);
         self.failures += 1;
-        self.not_before = now + pause;
-        self.next = Some(next + pause);
-        self.draw_anew(random);
+        self.backoff_until = now + backoff;
+        self.next_call = Some(next + backoff);
+        self.redraw_fraction(random);
     }
 
-    /// This front's next turn after a call that began at `called`.
-    fn next_turn(&self, called: Micros) -> Micros {
-        // Once may be the last moment of an outage.
-        let doublings = self.crowded.saturating_sub(1).min(MOST_DOUBLINGS);
-        let period = self.others() * self.spread as f64;
-        let longest = (self.fronts * MOST_APART as f64).max(period);
+    /// Returns this front's next slot after a call that began at `called`.
+    fn next_slot(&self, called: Micros) -> Micros {
+        // A single such failure may fall in the last moment of an outage, so it does not double the wait.
+        let doublings = self.overload_failures.saturating_sub(1).min(MAX_DOUBLINGS);
+        let period = self.others_share() * self.spread as f64;
+        let longest = (self.fronts * MAX_CALL_SPACING as f64).max(period);
         called + (f64::from(1 << doublings) * period).min(longest) as Micros
     }
 
-    /// Whether other fronts should be asked what a failed call tells: a crowd, or an outage.
+    /// Returns whether other fronts should be queried to tell whether an overload or an outage explains a failed
+    /// call.
     pub fn needs_peer_evidence(&self) -> bool {
-        self.unexplained.is_some()
+        self.unexplained_call_at.is_some()
     }
 
-    /// Discovery answered another front at `at`: if that is later than a call of this front began that failed, it is crowded,
-    /// unless it answers others so quickly that it would have time for all: then only this front's call was lost.
+    /// Records that discovery answered another front at `at`. If a call of this front that failed began earlier,
+    /// discovery is overloaded, unless it answers others so quickly that it would have time for all: then only this
+    /// front's call was lost.
     pub fn on_peer_confirmation(&mut self, at: Micros, call_cost: Option<Micros>) {
-        let Some(called) = self.unexplained.take_if(|called| *called < at) else { return };
+        let Some(called) = self.unexplained_call_at.take_if(|called| *called < at) else { return };
         if self.time_for_all(call_cost).is_some() {
             return;
         }
-        self.crowded += 1;
-        let turn = self.next_turn(called);
-        self.next = self.next.map(|next| next.max(turn));
+        self.overload_failures += 1;
+        let slot_time = self.next_slot(called);
+        self.next_call = self.next_call.map(|next| next.max(slot_time));
     }
 }
 
-fn below(span: Micros, random: &mut impl RngCore) -> Micros {
+fn random_below(span: Micros, random: &mut impl RngCore) -> Micros {
     random.next_u64() % span.max(1)
 }
--- a/crates/yarrowspoke/tests/membership.rs
+++ b/crates/yarrowspoke/tests/membership.rs
@@ -647,7 +647,8 @@
     // One call later that failed is worth as much again, though another made it.
     answer_next(&mut front, Standing::Unreachable(S));
     front.tick();
-    let tells = |action: &Action| matches!(action, Action::Log(line) if line.contains("Outage (last called in vain 1"));
+    let tells =
+        |action: &Action| matches!(action, Action::Log(line) if line.contains("Outage (last failed call 1"));
     assert!(front.did.iter().any(tells), "{:?}", front.did);
     answer_next(&mut front, Standing::Unreachable(9 * S));
     assert!(is_sent(&mut front, Some(CallOutcome::Ok)).is_some());
