--- a/crates/yarrowspoke/src/interface.rs
+++ b/crates/yarrowspoke/src/interface.rs
@@ -1,15 +1,15 @@
-//! What goes into and comes out of the decision module: settings, events and actions.
+//! The interface of the decision module: settings, events and actions.
 //!
-//! Nothing here decides anything. Times are microseconds on the host's clock; positions of
-//! classes, tenants, zones and kinds count from 0 in the settings' lists.
+//! Nothing here makes decisions. Times are microseconds on the host's clock; classes, tenants, zones and kinds are
+//! numbered from 0 in the order of the settings' lists.
 
-/// Microseconds, as a point in time or a span.
+/// Microseconds, as a point in time or a duration.
 pub type Micros = u64;
-/// A request, unique within one front's life.
+/// A request, unique within one incarnation of a front.
 pub type RequestId = u64;
-/// A machine, the same at every front.
+/// A machine, identified alike by every front.
 pub type MachineId = u32;
-/// A digest of where discovery is reached; two fronts that reach it at one address name it alike.
+/// A digest of the address of discovery; fronts that reach it at the same address have the same one.
 pub type DiscoveryId = u32;
 /// A build's number; later builds have higher ones.
 pub type Build = u16;
@@ -17,15 +17,15 @@
 /// How often a request of a class may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// Safe to repeat.
+    /// The request may be repeated.
     Idempotent,
-    /// Carries a key by which a group of machines drops repeats.
+    /// The request carries a key by which a group of machines drops repeats.
     Keyed,
-    /// Must never run twice.
+    /// The request must never run twice.
     AtMostOnce,
 }
 
-/// The machines that drop repeats of a keyed request.
+/// The group of machines that drops repeats of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All machines.
@@ -36,25 +36,25 @@
     Cell,
 }
 
-/// How a stage advances.
+/// How a stage of a rollout advances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteMode {
-    /// One 'on' suffices.
+    /// One vote to advance suffices.
     FirstVote,
-    /// A stated number of 'on' votes must stand.
+    /// A stated number of votes to advance must be valid at the same time.
     Quorum,
-    /// The stage advances by the clock unless held.
+    /// The stage advances by the clock unless it is held.
     Automatic,
 }
 
-/// Where load reports travel.
+/// How load reports reach the front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
-    /// Inside outcomes and probe results.
+    /// With responses and probe results.
     Responses,
-    /// Inside probe results only.
+    /// With probe results only.
     Probes,
-    /// Nowhere.
+    /// Load reports are not sent.
     None,
 }
 
@@ -65,7 +65,7 @@
     Concurrent,
     /// Requests awaiting service.
     QueueDepth,
-    /// Busy part of the CPU.
+    /// Share of the CPU that is busy.
     CpuUtilization,
     /// Recent service time in milliseconds.
     MeanServiceMs,
@@ -73,114 +73,114 @@
     RequestsPerSecond,
     /// Errors per second.
     ErrorsPerSecond,
-    /// A field this version does not know.
+    /// A field that this version does not know.
     Unknown,
 }
 
-/// One class of request.
+/// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer inside this time earns full worth.
+    /// A response within this time earns the request's full worth.
     pub latency_target: Micros,
-    /// The client's whole waiting time.
+    /// The whole time that the client waits.
     pub deadline: Micros,
-    /// The aim grows by this multiple of the request's work.
+    /// The latency target grows by this multiple of the request's work.
     pub latency_target_per_work: f64,
     /// How often the request may take effect.
     pub idempotency: Idempotency,
-    /// Group that drops repeats of a keyed request.
+    /// The group that drops repeats of a keyed request.
     pub dedup_scope: DedupScope,
-    /// How long that group remembers.
+    /// How long that group remembers a key.
     pub dedup_window: Micros,
-    /// Part of the worth paid past the aim.
+    /// Share of the worth that a response after the latency target earns.
     pub late_worth: f64,
-    /// Worth of a request.
+    /// The worth of a request.
     pub worth: f64,
-    /// The answer is a stream.
+    /// The response is a stream.
     pub streamed: bool,
 }
 
-/// One tenant.
+/// A tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second within its share, all fronts together.
+    /// Requests per second within its share, over all fronts.
     pub quota_rps: f64,
-    /// Portion of the service allotted.
+    /// Share of the service allotted to it.
     pub share: f64,
 }
 
-/// All that a front is told when it starts.
+/// The settings of a front, passed when it starts.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Request classes.
     pub classes: Vec<Class>,
     /// Tenants, possibly none.
     pub tenants: Vec<Tenant>,
-    /// This front's number.
+    /// The number of this front.
     pub front_id: u32,
-    /// How many fronts there are.
+    /// The number of fronts.
     pub fronts: u32,
     /// This front's zone.
     pub zone: u16,
-    /// The list must be asked for.
+    /// The list must be requested; otherwise it is pushed to the front.
     pub pulls_list: bool,
-    /// The host confirms a standing subscription every few seconds by a delta, also where nothing changed. Without this a
-    /// subscription stands until it is said to have ended.
+    /// The host confirms an open subscription every few seconds by a delta, even if nothing changed. Without this, a
+    /// subscription is valid until the host reports its end.
     pub list_heartbeats: bool,
-    /// Worth of over-share requests as a part of their class's.
+    /// Worth of requests beyond a tenant's share, as a share of their class's worth.
     pub over_share_worth: f64,
-    /// Fields of a load report.
+    /// Fields of a load report, in order.
     pub report_fields: Vec<LoadField>,
-    /// Where load reports travel.
+    /// How load reports reach the front.
     pub report_source: ReportSource,
-    /// Least gap between batches.
+    /// Minimum time between batches.
     pub min_batch_gap: Micros,
-    /// Attempts allowed for a request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// Longest wait that clients honour.
+    /// The longest retry-after that clients honour.
     pub max_retry_after: Micros,
-    /// A time to come back reaches clients.
+    /// A retry-after is passed on to clients.
     pub sends_retry_after: bool,
-    /// Two attempts of a request may be out together.
+    /// Two attempts of a request may be in flight at the same time.
     pub allows_hedging: bool,
-    /// `Cancel` is permitted.
+    /// [`Action::Cancel`] is permitted.
     pub allows_cancel: bool,
-    /// `Tell` is permitted.
+    /// [`Action::SendToPeer`] is permitted.
     pub allows_peer_messages: bool,
-    /// `Probe` is permitted.
+    /// [`Action::Probe`] is permitted.
     pub allows_probes: bool,
-    /// Slack after the client's deadline.
+    /// Time allowed for a final answer after the client's deadline.
     pub answer_slack: Micros,
-    /// Part of capacity with which a machine starts.
+    /// Share of its capacity with which a machine starts.
     pub cold_start_capacity: f64,
-    /// Time by which a started machine is warm.
+    /// Time after its start at which a machine is warm.
     pub warm_up_time: Micros,
-    /// Grace for drains and lower caps.
+    /// Grace period after a machine starts to drain or a cap is lowered.
     pub drain_grace: Micros,
-    /// Span of the cold budget.
+    /// Length of the window of the cold-start budget.
     pub cold_budget_window: Micros,
-    /// Multiple of present capacity that a cold machine stands.
+    /// Load that a cold machine withstands, as a multiple of its present capacity.
     pub cold_overload_factor: f64,
-    /// How long an unasked list stands for told.
+    /// Time after which a front must act on a change of the list even if it did not request the list; 0 if not given.
     pub list_refresh_interval: Micros,
-    /// Price for zone-crossing attempts.
+    /// Cost of an attempt that crosses zones.
     pub cross_zone_price: f64,
-    /// The release's settings.
+    /// Settings of staged releases.
     pub release: Release,
-    /// Rates of judging that the operators state; the module's own if none.
+    /// Error rates that the operators set; the module's defaults if there are none.
     pub error_rates: Option<ErrorRates>,
 }
 
-/// Rates of judging, for the whole fleet and a whole release.
+/// Error rates of judging a build, for the whole fleet and a whole release.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ErrorRates {
-    /// Chance that a good build is sent back.
+    /// Probability that a good build is rolled back.
     pub false_rollback: f64,
-    /// Chance that a bad one is kept, where the time of the stages allows it to be found.
+    /// Probability that a bad build is kept, where the stages are long enough to detect the fault.
     pub missed_fault: f64,
-    /// Least share above the earlier build's failures that counts as a fault.
+    /// Minimum increase over the earlier build's share of failures that counts as a fault.
     pub min_failure_increase: f64,
-    /// Least multiple of the earlier build's pace that counts as one.
+    /// Minimum multiple of the earlier build's service time that counts as a fault.
     pub min_slowdown: f64,
 }
 
@@ -189,198 +189,200 @@
 pub struct Release {
     /// How a stage advances.
     pub mode: VoteMode,
-    /// Fronts that send a build back.
+    /// Number of votes that roll a build back.
     pub rollback_votes: u32,
-    /// Fronts that move a stage on.
+    /// Number of votes that advance a stage.
     pub advance_votes: u32,
-    /// Fronts that hold the clock.
+    /// Number of votes that stop the clock.
     pub hold_votes: u32,
-    /// Least time of a stage.
+    /// Minimum duration of a stage.
     pub min_stage_time: Micros,
-    /// Stage time under the clock.
+    /// Duration of a stage that advances by the clock.
     pub stage_time: Micros,
-    /// Longest wait for a vote's answer.
+    /// Maximum wait for the reply to a vote.
     pub vote_timeout: Micros,
-    /// Votes a second from all fronts.
+    /// Votes per second, over all fronts.
     pub vote_rate_limit: f64,
-    /// How long a vote stands.
+    /// How long a vote is valid.
     pub vote_lifetime: Micros,
-    /// Period of unasked news.
+    /// Interval at which the rollout status is sent without a vote.
     pub status_period: Micros,
-    /// Cap for each stage.
+    /// The cap on exposure of each stage.
     pub caps: Vec<f64>,
-    /// Part of the fleet's places for each stage.
+    /// The share of the fleet's slots of each stage.
     pub stage_shares: Vec<f64>,
-    /// Span of the exposure count.
+    /// Length of the window over which exposure is counted.
     pub exposure_window: Micros,
-    /// Attempts free in each span.
+    /// Attempts per window that are allowed in addition to the cap.
     pub free_attempts: f64,
-    /// The count is kept for each class by itself.
+    /// Exposure is counted for each class separately.
     pub counts_by_class: bool,
-    /// Stages closed to requests with an effect.
+    /// Number of first stages that are closed to requests with side effects.
     pub guarded_stages: u8,
-    /// Keys answered by the new build stay with it.
+    /// Keys that the new build has answered stay with it.
     pub forward_only: bool,
-    /// The earlier machines stay until the release.
+    /// The machines of the earlier build stay until the release.
     pub keeps_old_machines: bool,
-    /// Part of wrong answers reported.
+    /// Share of wrong responses that clients report.
     pub complaint_share: f64,
-    /// Part of attempts that tallies count.
+    /// Share of attempts that the platform's tallies count.
     pub tally_sample_share: f64,
-    /// Period of tallies; 0 = none.
+    /// Interval between tallies; 0 if there are none.
     pub tally_period: Micros,
 }
 
-/// Where a machine stands in its life, as listed.
+/// The state of a machine, as listed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MachineState {
-    /// Takes work.
+    /// It accepts requests.
     Ready,
-    /// Finishes its work and takes none.
+    /// It finishes its requests and accepts no new ones.
     Draining,
-    /// Removed.
+    /// It has been removed.
     Gone,
 }
 
-/// One line of the list.
+/// One entry of the list.
 #[derive(Clone, Debug)]
 pub struct MachineEntry {
-    /// Which machine.
+    /// The machine.
     pub machine: MachineId,
-    /// Its zone.
+    /// The machine's zone.
     pub zone: u16,
-    /// Its kind.
+    /// The machine's kind.
     pub kind: u8,
-    /// The build that it runs.
+    /// The build that the machine runs.
     pub build: Build,
-    /// Its cell.
+    /// The machine's cell.
     pub cell: u16,
-    /// Its state.
+    /// The machine's state.
     pub state: MachineState,
-    /// Size, as the settings' weights say.
+    /// The machine's size, according to the settings' weights.
     pub weight: f64,
-    /// When it started; 0 = long ago.
+    /// When the machine started; 0 = long ago.
     pub started_at: Micros,
 }
 
-/// What a list event holds.
+/// What a list event contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// A call or the subscription failed.
+    /// Nothing: a call or the subscription failed.
     Failed,
     /// The whole list.
     Snapshot,
-    /// Changed lines only.
+    /// Changed entries only.
     Delta,
-    /// The whole list as last held before a start.
+    /// The whole list as it was last known before a restart.
     Cached,
-    /// A call or the subscription failed by an answer that cannot be used: discovery is at work, and may have told changes.
+    /// Nothing: a call or the subscription failed with a response that cannot be used. Discovery is up, and may have
+    /// sent changes.
     Unreadable,
-    /// Lines that the host has changed itself; no word of discovery's.
+    /// Entries that the host itself has changed; discovery did not send them.
     Restricted,
-    /// No lines: the host stood still, and what it was told meanwhile is still to be read.
+    /// No entries: the host was stalled, and has not yet read what was sent meanwhile.
     Stalled,
 }
 
 impl ListUpdate {
-    /// A call or the subscription failed, whatever came of it.
+    /// Returns whether a call or the subscription failed.
     pub fn is_failure(self) -> bool {
         matches!(self, Self::Failed | Self::Unreadable)
     }
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The machine gave an error.
+    /// The machine returned an error.
     Error,
-    /// Served.
+    /// The machine served the request.
     Ok,
-    /// Sent back unseen.
+    /// The machine rejected the request without processing it.
     Rejected,
-    /// No answer in time.
+    /// There was no response within the time-out.
     Timeout,
-    /// No connection.
+    /// No connection could be made.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection was broken.
     Reset,
-    /// Cancelled.
+    /// The attempt was cancelled.
     Cancelled,
-    /// Not issued.
+    /// The attempt was not sent.
     NotSent,
 }
 
-/// Where a build stands.
+/// The phase of a build's rollout.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// On trial.
+    /// The build is on trial.
     Trial,
-    /// Going back.
+    /// The build is being rolled back.
     RollingBack,
-    /// Released.
+    /// The build is released.
     Released,
-    /// Withdrawn.
+    /// The build is withdrawn.
     Withdrawn,
 }
 
-/// News of the newest build.
+/// The rollout status of the newest build.
 #[derive(Clone, Copy, Debug)]
 pub struct RolloutStatus {
     /// The newest build.
     pub build: Build,
-    /// Its stage, from 0.
+    /// The stage of its rollout, from 0.
     pub stage: u8,
-    /// Its phase.
+    /// The phase of its rollout.
     pub phase: Phase,
-    /// The news answers a vote.
+    /// The status is the reply to a vote.
     pub is_vote_reply: bool,
-    /// How the call went; unasked news is `Ok`.
+    /// The outcome of the call; `Ok` for a status sent without a vote.
     pub outcome: CallOutcome,
-    /// Cap on exposure.
+    /// The cap on exposure.
     pub cap: f64,
-    /// Time since this state began.
+    /// Time since this status began.
     pub age: Micros,
 }
 
 /// A client's request.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// Its id.
+    /// The request's id.
     pub id: RequestId,
-    /// Its class.
+    /// The request's class.
     pub class: u8,
-    /// Time before the client stops waiting.
+    /// Time until the client stops waiting.
     pub remaining: Micros,
-    /// Its subject; 0 = none.
+    /// The request's key; 0 = none.
     pub key: u64,
-    /// Its tenant.
+    /// The request's tenant.
     pub tenant: u32,
     /// Expected work.
     pub work_hint: Option<Micros>,
-    /// Marked by the client as a repeat.
+    /// The client marked it as a retry.
     pub is_retry: bool,
-    /// What the operators' rules say of it.
+    /// What the operators' rules state for this request.
     pub policy: RequestPolicy,
 }
 
-/// What the operators' rules say of a request. It only ever narrows: the guards go by the request's own class and key.
+/// What the operators' rules state for a request. A policy only restricts: guards use the request's own class and
+/// key.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RequestPolicy {
     /// Never sent again once it may have run, whatever its class allows.
     pub at_most_once: bool,
-    /// Most attempts, if fewer than the settings allow.
+    /// Maximum number of attempts, if lower than that of the settings.
     pub max_attempts: Option<u32>,
-    /// The class whose aim and worth count for it.
+    /// The class whose latency target and worth apply to the request.
     pub value_class: Option<u8>,
-    /// Its subject for its hash position, in place of its key.
+    /// Determines the request's hash position in place of its key.
     pub hash_key: Option<u64>,
     /// Machines of this zone are preferred.
     pub preferred_zone: Option<u16>,
     /// Machines of this kind are preferred.
     pub preferred_kind: Option<u8>,
-    /// Time cut off what its client would wait.
+    /// Time subtracted from the client's deadline.
     pub deadline_cut: Micros,
-    /// It is refused, to come back after so long.
+    /// The request is refused with this retry-after.
     pub refuse_with_retry_after: Option<Micros>,
 }
 
@@ -393,48 +395,48 @@
     pub attempt: u16,
     /// The machine.
     pub machine: MachineId,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: CallOutcome,
-    /// The request is over.
+    /// The request is finished.
     pub request_done: bool,
-    /// Time since the send.
+    /// Time since the attempt was sent.
     pub duration: Micros,
-    /// Load report, possibly empty.
+    /// The load report, possibly empty.
     pub load_report: &'a [f32],
 }
 
-/// What a front is told.
+/// An event that the host passes to a front.
 #[derive(Clone, Debug)]
 pub enum Event<'a> {
-    /// The list, or a part of it.
+    /// The list of machines, or a part of it.
     List {
         /// What the entries are.
         kind: ListUpdate,
-        /// Discovery's version of the list; nothing where the kind has none.
+        /// Discovery's version of the list; meaningless for kinds that have none.
         version: u64,
-        /// The lines.
+        /// The entries.
         entries: &'a [MachineEntry],
     },
-    /// Where discovery is. Where it has moved, the subscription at the old address has ended, and what its new one has counts
-    /// as told before long.
+    /// The address of discovery. If it has moved, the subscription at the old address has ended, and the front must
+    /// soon act on the list at the new one.
     DiscoveryAddress {
-        /// Names the address.
+        /// Identifies the address.
         discovery_id: DiscoveryId,
-        /// It was elsewhere before; otherwise this is where it is from the start on.
+        /// Discovery was at another address before; otherwise it has been at this one from the start.
         moved: bool,
     },
-    /// A client's request.
+    /// A request of a client has arrived.
     Request(Arrival),
-    /// A streamed answer has begun.
+    /// The first byte of a streamed response has arrived.
     FirstByte {
         /// The request.
         id: RequestId,
         /// The attempt.
         attempt: u16,
     },
-    /// A timer set by the front.
+    /// A timer set by the front has expired.
     Timer {
-        /// The front's name for it.
+        /// The front's identifier of the timer.
         name: u64,
     },
     /// An attempt has ended.
@@ -443,14 +445,14 @@
     ProbeEnded {
         /// The machine.
         machine: MachineId,
-        /// How it ended.
+        /// The outcome of the probe.
         outcome: CallOutcome,
-        /// Time since it was sent.
+        /// Time since the probe was sent.
         duration: Micros,
-        /// Load report, possibly empty.
+        /// The load report, possibly empty.
         load_report: &'a [f32],
     },
-    /// A client called a served answer wrong.
+    /// A client reported that a response was wrong.
     Complaint {
         /// The machine.
         machine: MachineId,
@@ -459,51 +461,51 @@
         /// Time since the attempt was sent.
         age: Micros,
     },
-    /// A peer's message: untrusted.
+    /// A message of a peer, which is not trusted.
     PeerMessage {
         /// The sender.
         from: u32,
         /// The content.
         bytes: &'a [u8],
     },
-    /// News of a build, or a vote's answer.
+    /// The rollout status of a build, or the reply to a vote.
     RolloutStatus(RolloutStatus),
-    /// The platform's count for a build and class.
+    /// The platform's tally for a build and class.
     PlatformTally {
         /// The build.
         build: Build,
         /// The class.
         class: u8,
-        /// Attempts counted.
+        /// Number of attempts counted.
         count: u32,
-        /// Those not served.
+        /// Number of those that were not served.
         failed: u32,
-        /// Mean time of the rest.
+        /// Mean time of the others.
         mean_time: Micros,
-        /// Time since the period ended.
+        /// Time since the tally's period ended.
         age: Micros,
     },
-    /// The client left.
+    /// The client has left.
     ClientLeft {
         /// The request.
         id: RequestId,
     },
 }
 
-/// A front's word on a build.
+/// A front's vote on a build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Vote {
-    /// Takes the vote away.
+    /// Withdraws the vote.
     Withdraw,
-    /// Move on.
+    /// Advances the stage.
     Advance,
-    /// Stop the clock.
+    /// Stops the clock.
     Hold,
-    /// Send the build back.
+    /// Rolls the build back.
     RollBack,
 }
 
-/// What a front wants done.
+/// What a front wants the host to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt.
@@ -512,17 +514,17 @@
         id: RequestId,
         /// The machine.
         machine: MachineId,
-        /// Time-out; 0 = until the client stops waiting.
+        /// Time-out of the attempt; 0 = until the client stops waiting.
         timeout: Micros,
     },
-    /// Final answer: refused, a retry is harmless.
+    /// Give the final answer: refused, and safe to retry.
     Refuse {
         /// The request.
         id: RequestId,
-        /// When to come back; 0 = not said.
+        /// When to retry; 0 = not stated.
         retry_after: Micros,
     },
-    /// Final answer: failed.
+    /// Give the final answer: failed.
     Fail {
         /// The request.
         id: RequestId,
@@ -541,22 +543,22 @@
     },
     /// Subscribe to the list, or stop.
     Subscribe(bool),
-    /// Ask once for the whole list.
+    /// Fetch the whole list once.
     FetchList,
-    /// Ask for a timer.
+    /// Set a timer.
     Timer {
-        /// The front's name for it.
+        /// The front's identifier of the timer.
         name: u64,
         /// Time from now.
         after: Micros,
     },
-    /// Vote on a build.
+    /// Cast a vote on a build.
     Vote {
         /// The build.
         build: Build,
-        /// The stage meant.
+        /// The stage that the vote applies to.
         stage: u8,
-        /// The verdict.
+        /// The vote.
         vote: Vote,
     },
     /// Close idle connections to a machine.
@@ -564,13 +566,13 @@
         /// The machine.
         machine: MachineId,
     },
-    /// Send bytes to a peer, or to all.
+    /// Send a message to one peer, or to all.
     SendToPeer {
         /// The peer; `None` = all.
         peer: Option<u16>,
         /// The message.
         bytes: Vec<u8>,
     },
-    /// A line for the operators.
+    /// Write a line to the log, for the operators.
     Log(String),
 }
--- a/crates/yarrowspoke/src/membership/message.rs
+++ b/crates/yarrowspoke/src/membership/message.rs
@@ -185,8 +185,8 @@
     fn decode_answer(nonce: u32, bytes: &[u8]) -> Result<Self, MessageError> {
         let ([standing, age, subscription], rest) = read_array(bytes)?;
         let (discovery_id, rest) = read_array(rest)?;
-        let (version, confirmations) = read_array(rest)?;
-        if !confirmations.len().is_multiple_of(CONFIRMATION_BYTES) {
+        let (version, encoded) = read_array(rest)?;
+        if !encoded.len().is_multiple_of(CONFIRMATION_BYTES) {
             return Err(MessageError::Length);
         }
         Ok(Self::Answer {
@@ -195,7 +195,7 @@
             subscription: Subscription::from_byte(subscription),
             discovery_id: DiscoveryId::from_le_bytes(discovery_id),
             version: u64::from_le_bytes(version),
-            confirmations: confirmations.chunks_exact(CONFIRMATION_BYTES).map(read_confirmation).collect(),
+            confirmations: encoded.chunks_exact(CONFIRMATION_BYTES).map(read_confirmation).collect(),
         })
     }
 
