--- a/crates/yarrowspoke/tests/membership.rs
+++ b/crates/yarrowspoke/tests/membership.rs
@@ -1,4 +1,4 @@
-//! How far a list is trusted: by whom it is vouched for, for how long, and what is done without.
+//! How long a list may be used: by which evidence, for how long, and what happens without any.
 
 mod common;
 use common::*;
@@ -8,10 +8,11 @@
     fingerprint, Confirmation, Message, Standing, Subscription, MAX_CONFIRMATIONS,
 };
 
-/// Settings of front `me` of `fronts` on sockets, where a standing watch confirms the list again and again.
-fn watching(me: u32, fronts: u32, peers: bool) -> Settings {
+/// Settings of front `front_id` of `fronts` that uses sockets, where an open subscription confirms the list
+/// periodically.
+fn subscribed_settings(front_id: u32, fronts: u32, peers: bool) -> Settings {
     Settings {
-        front_id: me,
+        front_id,
         fronts,
         allows_peer_messages: peers,
         pulls_list: true,
@@ -20,7 +21,7 @@
     }
 }
 
-/// Ticks for `span`, without requests.
+/// Ticks for `span` without requests.
 fn wait(rig: &mut Rig, span: Micros) {
     let until = rig.now + span;
     while rig.now < until {
@@ -29,25 +30,26 @@
     }
 }
 
-/// Whether a request is sent to some machine now; what is sent is answered at once, if told to.
-fn is_sent(rig: &mut Rig, answered: Option<CallOutcome>) -> Option<MachineId> {
+/// Hands in a request and returns the machine that it is sent to, if any. The machine responds at once with
+/// `response`, if given.
+fn send_request(rig: &mut Rig, response: Option<CallOutcome>) -> Option<MachineId> {
     let id = rig.request(0);
     let (_, machine) = rig.sent()?;
-    if let Some(ending) = answered {
-        rig.end(id, 0, machine, ending);
+    if let Some(outcome) = response {
+        rig.end(id, 0, machine, outcome);
     }
     Some(machine)
 }
 
 #[test]
-fn a_list_that_is_not_confirmed_is_let_go_before_its_changes_count_as_told() {
-    let mut rig = Rig::new(watching(0, 2, false), 3);
+fn unconfirmed_list_expires_before_the_change_deadline() {
+    let mut rig = Rig::new(subscribed_settings(0, 2, false), 3);
     rig.list(ListUpdate::Delta, &[]);
     wait(&mut rig, 5_900 * MS);
-    assert!(is_sent(&mut rig, None).is_some());
+    assert!(send_request(&mut rig, None).is_some());
     wait(&mut rig, 150 * MS);
-    assert_eq!(is_sent(&mut rig, None), None);
-    // Who waits for a machine is answered before long.
+    assert_eq!(send_request(&mut rig, None), None);
+    // A request that waits for a machine soon gets a final answer.
     let mut finals = 0;
     for _ in 0..10 {
         rig.now += 50 * MS;
@@ -56,34 +58,35 @@
     }
     assert_eq!(finals, 1);
     rig.list(ListUpdate::Delta, &[]);
-    assert!(is_sent(&mut rig, None).is_some());
+    assert!(send_request(&mut rig, None).is_some());
 }
 
 #[test]
-fn a_list_held_from_before_the_start_is_trusted_for_less_than_the_grace_of_a_drain() {
-    let mut rig = Rig::new(watching(0, 2, false), 3);
-    assert!(is_sent(&mut rig, None).is_some());
+fn cached_list_expires_before_the_drain_grace() {
+    let mut rig = Rig::new(subscribed_settings(0, 2, false), 3);
+    assert!(send_request(&mut rig, None).is_some());
     wait(&mut rig, 450 * MS);
-    assert_eq!(is_sent(&mut rig, None), None);
+    assert_eq!(send_request(&mut rig, None), None);
 }
 
 #[test]
-fn an_answer_does_not_prove_that_a_machine_is_the_one_listed() {
-    // Danger: another process under an old name answers just as well, while discovery has still to tell that the listed one
-    // went. On a herd day of 300 fronts such answers kept fronts sending for seconds.
-    let mut rig = Rig::new(watching(0, 2, false), 1);
+fn machine_response_does_not_renew_its_lease() {
+    // Guards against taking a response as proof of identity: another process under an old name responds just as well
+    // before discovery has reported that the listed one is gone. In an overload of 300 fronts such responses kept
+    // fronts sending for seconds.
+    let mut rig = Rig::new(subscribed_settings(0, 2, false), 1);
     rig.list(ListUpdate::Delta, &[]);
     for _ in 0..11 {
         wait(&mut rig, 500 * MS);
-        assert!(is_sent(&mut rig, Some(CallOutcome::Ok)).is_some());
+        assert!(send_request(&mut rig, Some(CallOutcome::Ok)).is_some());
     }
     wait(&mut rig, 550 * MS);
-    assert_eq!(is_sent(&mut rig, None), None);
+    assert_eq!(send_request(&mut rig, None), None);
 }
 
 #[test]
-fn what_a_planner_takes_away_neither_confirms_the_list_nor_ends_the_calls_for_it() {
-    let mut rig = Rig::new(watching(0, 2, false), 3);
+fn planner_restriction_neither_confirms_the_list_nor_stops_calls_for_it() {
+    let mut rig = Rig::new(subscribed_settings(0, 2, false), 3);
     rig.list(ListUpdate::Failed, &[]);
     rig.list(ListUpdate::Restricted, &[MachineEntry { state: MachineState::Draining, ..entry(0, 1, 0) }]);
     let mut calls = 0;
@@ -93,664 +96,670 @@
         calls += usize::from(rig.did.contains(&Action::Subscribe(true)));
     }
     assert!(calls >= 1);
-    assert_eq!(is_sent(&mut rig, None), None);
+    assert_eq!(send_request(&mut rig, None), None);
 }
 
 #[test]
-fn after_a_move_the_list_is_let_go_sooner_and_after_an_unreadable_answer_at_once() {
-    let mut rig = Rig::new(watching(0, 2, false), 3);
+fn list_expires_sooner_after_a_move_and_at_once_after_an_unreadable_response() {
+    let mut rig = Rig::new(subscribed_settings(0, 2, false), 3);
     rig.list(ListUpdate::Delta, &[]);
     rig.move_discovery(2);
     wait(&mut rig, 3_950 * MS);
-    assert!(is_sent(&mut rig, None).is_some());
+    assert!(send_request(&mut rig, None).is_some());
     wait(&mut rig, 100 * MS);
-    assert_eq!(is_sent(&mut rig, None), None);
+    assert_eq!(send_request(&mut rig, None), None);
     rig.list(ListUpdate::Delta, &[]);
     rig.list(ListUpdate::Unreadable, &[]);
-    assert_eq!(is_sent(&mut rig, None), None);
+    assert_eq!(send_request(&mut rig, None), None);
 }
 
 #[test]
-fn a_front_alone_goes_on_when_discovery_is_silent_and_not_when_it_cannot_be_read() {
-    for (kind, goes_on) in [(ListUpdate::Failed, true), (ListUpdate::Unreadable, false)] {
-        let mut rig = Rig::new(watching(0, 1, false), 3);
+fn single_front_keeps_sending_when_discovery_is_silent_but_not_when_unreadable() {
+    for (kind, keeps_sending) in [(ListUpdate::Failed, true), (ListUpdate::Unreadable, false)] {
+        let mut rig = Rig::new(subscribed_settings(0, 1, false), 3);
         rig.list(ListUpdate::Delta, &[]);
         for _ in 0..20 {
             rig.list(kind, &[]);
             wait(&mut rig, S);
         }
-        assert_eq!(is_sent(&mut rig, None).is_some(), goes_on, "{kind:?}");
+        assert_eq!(send_request(&mut rig, None).is_some(), keeps_sending, "{kind:?}");
     }
 }
 
-/// The questions that the last event made a front ask.
-fn questions(rig: &Rig) -> Vec<(u16, u32)> {
-    let question = |a: &Action| match a {
+/// Returns the queries that the front sent on the last event.
+fn sent_queries(rig: &Rig) -> Vec<(u16, u32)> {
+    let query = |a: &Action| match a {
         Action::SendToPeer { peer: Some(peer), bytes } => match Message::decode(bytes) {
             Ok(Message::Query { nonce, .. }) => Some((*peer, nonce)),
             _ => None,
         },
         _ => None,
     };
-    rig.did.iter().filter_map(question).collect()
+    rig.did.iter().filter_map(query).collect()
 }
 
-/// Waits for questions to other fronts.
-fn asked(rig: &mut Rig) -> Vec<(u16, u32)> {
+/// Waits until the front queries other fronts.
+fn wait_for_queries(rig: &mut Rig) -> Vec<(u16, u32)> {
     for _ in 0..100 {
         rig.now += 50 * MS;
         rig.tick();
-        let asked = questions(rig);
-        if !asked.is_empty() {
-            return asked;
+        let queries = sent_queries(rig);
+        if !queries.is_empty() {
+            return queries;
         }
     }
-    panic!("no question in 5 s");
+    panic!("no query in 5 s");
 }
 
-fn answer(rig: &mut Rig, from: u16, nonce: u32, standing: Standing, vouched: Vec<Confirmation>) {
+fn send_answer(rig: &mut Rig, from: u16, nonce: u32, standing: Standing, confirmations: Vec<Confirmation>) {
     let bytes = Message::Answer {
         nonce,
         standing,
         subscription: Subscription::Missing,
         discovery_id: 0,
         version: 0,
-        confirmations: vouched,
+        confirmations,
     }
     .encode();
     rig.say(Event::PeerMessage { from: from.into(), bytes: &bytes });
 }
 
-/// What a front tells another of the list.
-struct Told {
+/// A front's answer to a query about the list.
+struct ListAnswer {
     standing: Standing,
-    source: DiscoveryId,
+    discovery_id: DiscoveryId,
     version: u64,
-    vouched: Vec<Confirmation>,
+    confirmations: Vec<Confirmation>,
 }
 
-/// The one answer of a front to a question of another.
-fn told(rig: &mut Rig) -> Told {
+/// Returns the single answer of a front to a query of another.
+fn query_list(rig: &mut Rig) -> ListAnswer {
     rig.say(Event::PeerMessage { from: 1, bytes: &Message::Query { nonce: 9, version: 0 }.encode() });
     let answer = |action: &Action| match action {
         Action::SendToPeer { bytes, .. } => match Message::decode(bytes) {
-            Ok(Message::Answer {
-                standing, discovery_id: source, version, confirmations: vouched, ..
-            }) => Some(Told { standing, source, version, vouched }),
+            Ok(Message::Answer { standing, discovery_id, version, confirmations, .. }) => {
+                Some(ListAnswer { standing, discovery_id, version, confirmations })
+            }
             _ => None,
         },
         _ => None,
     };
-    let mut answers: Vec<Told> = rig.did.iter().filter_map(answer).collect();
+    let mut answers: Vec<ListAnswer> = rig.did.iter().filter_map(answer).collect();
     assert_eq!(answers.len(), 1);
     answers.remove(0)
 }
 
-/// What a front whose list was just confirmed answers to a question.
-fn vouching(entries: &[MachineEntry], asker: u16, nonce: u32, me: u32, fronts: u32) -> Vec<u8> {
-    let mut rig = Rig::new(watching(me, fronts, true), 0);
+/// Returns the answer to a query of a front whose list was just confirmed.
+fn confirming_answer(
+    entries: &[MachineEntry],
+    querying_front: u16,
+    nonce: u32,
+    front_id: u32,
+    fronts: u32,
+) -> Vec<u8> {
+    let mut rig = Rig::new(subscribed_settings(front_id, fronts, true), 0);
     rig.list(ListUpdate::Snapshot, entries);
-    rig.say(Event::PeerMessage { from: asker.into(), bytes: &Message::Query { nonce, version: 0 }.encode() });
-    let told = rig.did.iter().find_map(|a| match a {
-        Action::SendToPeer { peer, bytes } if *peer == Some(asker) => Some(bytes.clone()),
+    rig.say(Event::PeerMessage {
+        from: querying_front.into(),
+        bytes: &Message::Query { nonce, version: 0 }.encode(),
+    });
+    let answer = rig.did.iter().find_map(|a| match a {
+        Action::SendToPeer { peer, bytes } if *peer == Some(querying_front) => Some(bytes.clone()),
         _ => None,
     });
-    told.expect("an answer to the asker")
+    answer.expect("an answer to the querying front")
 }
 
 #[test]
-fn a_front_is_vouched_for_just_what_another_has_of_its_own_list() {
-    let mut rig = Rig::new(watching(0, 3, true), 4);
+fn peer_confirms_only_machines_that_match_its_own_list() {
+    let mut rig = Rig::new(subscribed_settings(0, 3, true), 4);
     wait(&mut rig, S);
-    assert_eq!(is_sent(&mut rig, None), None, "nobody has vouched yet");
-    let (peer, nonce) = asked(&mut rig)[0];
-    // Machine 0 drains, 1 has another process, 2 another build; 3 is as this front knows it, 9 is new to it.
-    let others = [
+    assert_eq!(send_request(&mut rig, None), None, "no front has confirmed a machine yet");
+    let (peer, nonce) = wait_for_queries(&mut rig)[0];
+    // Machine 0 drains, 1 has another process, 2 another build; 3 matches this front's list, 9 is unknown to it.
+    let peer_entries = [
         MachineEntry { state: MachineState::Draining, ..entry(0, 1, 0) },
         entry(1, 1, 5 * S),
         entry(2, 2, 0),
         entry(3, 1, 0),
         entry(9, 1, 0),
     ];
-    let bytes = vouching(&others, 0, nonce, peer.into(), 3);
+    let bytes = confirming_answer(&peer_entries, 0, nonce, peer.into(), 3);
     rig.say(Event::PeerMessage { from: peer.into(), bytes: &bytes });
-    let sent: Vec<_> = (0..40).filter_map(|_| is_sent(&mut rig, Some(CallOutcome::Ok))).collect();
+    let sent: Vec<_> = (0..40).filter_map(|_| send_request(&mut rig, Some(CallOutcome::Ok))).collect();
     assert!(!sent.is_empty() && sent.iter().all(|m| *m == 3), "{sent:?}");
-    // It lasts as long as the other's list, counted from the question.
-    let mut rig = Rig::new(watching(0, 3, true), 4);
+    // The confirmation is valid as long as the other front's list, counted from the query.
+    let mut rig = Rig::new(subscribed_settings(0, 3, true), 4);
     wait(&mut rig, S);
-    let (peer, nonce) = asked(&mut rig)[0];
-    let began = rig.now;
-    let bytes = vouching(&[entry(3, 1, 0)], 0, nonce, peer.into(), 3);
+    let (peer, nonce) = wait_for_queries(&mut rig)[0];
+    let query_sent_at = rig.now;
+    let bytes = confirming_answer(&[entry(3, 1, 0)], 0, nonce, peer.into(), 3);
     rig.now += 400 * MS;
     rig.say(Event::PeerMessage { from: peer.into(), bytes: &bytes });
-    rig.now = began + 5_900 * MS;
-    assert!(is_sent(&mut rig, None).is_some());
-    rig.now = began + 6_050 * MS;
-    assert_eq!(is_sent(&mut rig, None), None);
+    rig.now = query_sent_at + 5_900 * MS;
+    assert!(send_request(&mut rig, None).is_some());
+    rig.now = query_sent_at + 6_050 * MS;
+    assert_eq!(send_request(&mut rig, None), None);
 }
 
 #[test]
-fn nothing_counts_that_was_not_asked_or_came_from_somebody_else_or_too_late() {
-    let honest = |rig: &mut Rig| {
+fn unsolicited_misattributed_and_late_answers_are_ignored() {
+    let peer_answer = |rig: &mut Rig| {
         wait(rig, S);
-        let (peer, nonce) = asked(rig)[0];
-        (peer, nonce, vouching(&[entry(3, 1, 0)], 0, nonce, peer.into(), 3))
+        let (peer, nonce) = wait_for_queries(rig)[0];
+        (peer, nonce, confirming_answer(&[entry(3, 1, 0)], 0, nonce, peer.into(), 3))
     };
-    let (mut rig, mut ignored) = (Rig::new(watching(0, 3, true), 4), 0);
-    let (peer, nonce, bytes) = honest(&mut rig);
+    let (mut rig, mut ignored) = (Rig::new(subscribed_settings(0, 3, true), 4), 0);
+    let (peer, nonce, bytes) = peer_answer(&mut rig);
     let other = 3 - peer;
     for (from, bytes) in [
         (u32::from(other), bytes.clone()),
-        (u32::from(peer), vouching(&[entry(3, 1, 0)], 0, nonce.wrapping_add(1), peer.into(), 3)),
+        (u32::from(peer), confirming_answer(&[entry(3, 1, 0)], 0, nonce.wrapping_add(1), peer.into(), 3)),
         (70_000, bytes.clone()),
         (u32::from(peer), bytes[..5].to_vec()),
     ] {
         rig.say(Event::PeerMessage { from, bytes: &bytes });
         ignored += 1;
         assert_eq!(rig.front.ignored_events(), ignored);
-        assert_eq!(is_sent(&mut rig, None), None);
+        assert_eq!(send_request(&mut rig, None), None);
     }
     rig.now += S;
     rig.say(Event::PeerMessage { from: peer.into(), bytes: &bytes });
-    assert_eq!(is_sent(&mut rig, None), None, "too late");
+    assert_eq!(send_request(&mut rig, None), None, "too late");
 }
 
 #[test]
-fn the_list_stays_in_use_while_all_are_cut_off_until_one_is_not() {
-    let mut rig = Rig::new(watching(0, 9, true), 4);
+fn list_stays_in_use_while_no_front_reaches_discovery() {
+    let mut rig = Rig::new(subscribed_settings(0, 9, true), 4);
     rig.list(ListUpdate::Delta, &[]);
     rig.list(ListUpdate::Failed, &[]);
     let mut sent = 0;
     while rig.now < 120 * S {
         rig.now += 50 * MS;
         rig.tick();
-        for (peer, nonce) in questions(&rig) {
-            answer(&mut rig, peer, nonce, Standing::Unreachable(0), vec![]);
+        for (peer, nonce) in sent_queries(&rig) {
+            send_answer(&mut rig, peer, nonce, Standing::Unreachable(0), vec![]);
         }
-        sent += usize::from(is_sent(&mut rig, None).is_some());
+        sent += usize::from(send_request(&mut rig, None).is_some());
     }
     assert_eq!(sent, 400);
-    // Fronts that have not tried say nothing of discovery.
-    let mut young = rig.front.clone();
+    // Fronts that have not called yet have no information about discovery.
+    let mut uninformed = rig.front.clone();
     let until = rig.now + 4 * S;
     let mut last = None;
     while rig.now < until {
         rig.now += 50 * MS;
         rig.tick();
-        for (peer, nonce) in questions(&rig) {
-            answer(&mut rig, peer, nonce, Standing::Unknown, vec![]);
+        for (peer, nonce) in sent_queries(&rig) {
+            send_answer(&mut rig, peer, nonce, Standing::Unknown, vec![]);
         }
-        last = is_sent(&mut rig, None);
+        last = send_request(&mut rig, None);
     }
     assert_eq!(last, None);
-    // One whose list holds knows of changes that this one does not.
-    std::mem::swap(&mut rig.front, &mut young);
+    // A front with a confirmed list knows of changes that this one does not.
+    std::mem::swap(&mut rig.front, &mut uninformed);
     rig.now = 120 * S;
-    assert!(is_sent(&mut rig, None).is_some());
-    let (peer, nonce) = asked(&mut rig)[0];
-    let mut told_otherwise = rig.front.clone();
-    answer(&mut rig, peer, nonce, Standing::Confirmed(3 * S), vec![]);
-    assert_eq!(is_sent(&mut rig, None), None);
-    // One that was answered, though unreadably, knows that discovery is at work.
-    std::mem::swap(&mut rig.front, &mut told_otherwise);
-    assert!(is_sent(&mut rig, None).is_some());
-    answer(&mut rig, peer, nonce, Standing::Unreadable(0), vec![]);
-    assert_eq!(is_sent(&mut rig, None), None);
+    assert!(send_request(&mut rig, None).is_some());
+    let (peer, nonce) = wait_for_queries(&mut rig)[0];
+    let mut informed = rig.front.clone();
+    send_answer(&mut rig, peer, nonce, Standing::Confirmed(3 * S), vec![]);
+    assert_eq!(send_request(&mut rig, None), None);
+    // A front that got a response, even an unreadable one, knows that discovery is up.
+    std::mem::swap(&mut rig.front, &mut informed);
+    assert!(send_request(&mut rig, None).is_some());
+    send_answer(&mut rig, peer, nonce, Standing::Unreadable(0), vec![]);
+    assert_eq!(send_request(&mut rig, None), None);
 }
 
 #[test]
-fn hundreds_of_fronts_call_no_faster_than_once_in_the_time_given_for_asking() {
-    // Danger: where each asks again at once, they are a load that keeps discovery from answering any of them.
+fn large_fleets_call_at_most_once_per_refresh_interval() {
+    // Guards against an overload by retries: if each front calls again at once, their load keeps discovery from
+    // answering any of them.
     for fronts in [30, 300, 900] {
-        let every = fronts / 30;
+        let step = fronts / 30;
         let mut calls = Vec::new();
-        for me in (0..fronts).step_by(every as usize) {
-            let mut rig = Rig::new(watching(me, fronts, true), 2);
-            let mut due = None;
+        for front_id in (0..fronts).step_by(step as usize) {
+            let mut rig = Rig::new(subscribed_settings(front_id, fronts, true), 2);
+            let mut fails_at = None;
             while rig.now < 160 * S {
                 rig.now += 50 * MS;
-                match due.take_if(|at| *at <= rig.now) {
+                match fails_at.take_if(|at| *at <= rig.now) {
                     Some(_) => rig.list(ListUpdate::Failed, &[]),
                     None => rig.tick(),
                 }
                 if rig.did.contains(&Action::Subscribe(true)) {
                     calls.push(rig.now);
-                    due = Some(rig.now + 2 * S);
+                    fails_at = Some(rig.now + 2 * S);
                 }
             }
         }
         calls.sort_unstable();
-        let most = |span: Micros| {
+        let max_calls = |span: Micros| {
             let within = |from: &Micros| calls.iter().filter(|c| **c >= *from && **c < *from + span).count();
             calls.iter().map(within).max().unwrap_or(0)
         };
-        // Eight seconds take one call of each; a short span takes no crowd.
-        assert!(most(8 * S) <= 33, "{fronts} fronts: {} in 8 s", most(8 * S));
-        assert!(most(S) <= 8, "{fronts} fronts: {} in 1 s", most(S));
+        // In 8 s each front calls once; in a short time there is no burst of calls.
+        assert!(max_calls(8 * S) <= 33, "{fronts} fronts: {} in 8 s", max_calls(8 * S));
+        assert!(max_calls(S) <= 8, "{fronts} fronts: {} in 1 s", max_calls(S));
     }
 }
 
 proptest! {
     #[test]
-    fn messages_come_back_as_they_were_and_fit_a_datagram(
+    fn messages_round_trip_and_fit_a_datagram(
         nonce: u32,
         version: u64,
-        source: u32,
+        discovery_id: u32,
         age in 0u64..256,
         subscription in 0u64..256,
-        lines in prop::collection::vec((any::<u32>(), 0u64..256), 0..=MAX_CONFIRMATIONS),
+        entries in prop::collection::vec((any::<u32>(), 0u64..256), 0..=MAX_CONFIRMATIONS),
     ) {
-        let vouched: Vec<_> = lines.into_iter().map(|(fingerprint, age)| Confirmation { fingerprint, age: age * 50 * MS }).collect();
+        let confirmations: Vec<_> = entries.into_iter().map(|(fingerprint, age)| Confirmation { fingerprint, age: age * 50 * MS }).collect();
         let subscription = match subscription {
             0 => Subscription::Missing,
             1 => Subscription::Open,
-            opened => Subscription::OpenedRecently((opened - 2) * 4 * MS),
+            code => Subscription::OpenedRecently((code - 2) * 4 * MS),
         };
         for standing in [Standing::Confirmed(age * 50 * MS), Standing::Unreachable(age * 50 * MS), Standing::Unreadable(age * 50 * MS), Standing::Unknown] {
-            let message = Message::Answer { nonce, standing, subscription, discovery_id: source, version, confirmations: vouched.clone() };
+            let message = Message::Answer { nonce, standing, subscription, discovery_id, version, confirmations: confirmations.clone() };
             let bytes = message.encode();
             prop_assert!(bytes.len() <= 256);
             prop_assert_eq!(Message::decode(&bytes), Ok(message));
         }
-        let question = Message::Query { nonce, version };
-        prop_assert_eq!(Message::decode(&question.encode()), Ok(question));
+        let query = Message::Query { nonce, version };
+        prop_assert_eq!(Message::decode(&query.encode()), Ok(query));
     }
 
     #[test]
-    fn no_bytes_make_a_front_panic_or_send(bytes in prop::collection::vec(any::<u8>(), 0..300), from: u32) {
-        let mut rig = Rig::new(watching(0, 3, true), 4);
+    fn arbitrary_bytes_cause_neither_panic_nor_send(bytes in prop::collection::vec(any::<u8>(), 0..300), from: u32) {
+        let mut rig = Rig::new(subscribed_settings(0, 3, true), 4);
         wait(&mut rig, S);
         rig.say(Event::PeerMessage { from, bytes: &bytes });
-        prop_assert_eq!(is_sent(&mut rig, None), None);
+        prop_assert_eq!(send_request(&mut rig, None), None);
     }
 }
 
-/// A front that another vouches for, by an answer to its question.
-struct Standby {
+/// A front in a fleet of three that queries the others.
+struct FrontWithPeers {
     rig: Rig,
 }
 
-impl Standby {
-    /// One whose list was confirmed by discovery just now.
+impl FrontWithPeers {
+    /// Creates a front whose list discovery has just confirmed.
     fn confirmed() -> Self {
-        let mut rig = Rig::new(watching(0, 3, true), 4);
-        rig.say(Event::DiscoveryAddress { discovery_id: OLD, moved: false });
+        let mut rig = Rig::new(subscribed_settings(0, 3, true), 4);
+        rig.say(Event::DiscoveryAddress { discovery_id: OLD_DISCOVERY, moved: false });
         rig.list(ListUpdate::Delta, &[]);
         Self { rig }
     }
 
-    /// Takes the word of another front that goes by `source` and whose list was confirmed `age` ago.
-    fn hear(&mut self, source: DiscoveryId, age: Micros) {
-        let (peer, nonce) = asked(&mut self.rig)[0];
-        let vouched = vec![Confirmation { fingerprint: fingerprint(&entry(3, 1, 0)), age }];
+    /// Handles the answer of a front that uses discovery `discovery_id` and whose list was confirmed `age` ago.
+    fn receive_confirmation(&mut self, discovery_id: DiscoveryId, age: Micros) {
+        let (peer, nonce) = wait_for_queries(&mut self.rig)[0];
+        let confirmations = vec![Confirmation { fingerprint: fingerprint(&entry(3, 1, 0)), age }];
         let standing = Standing::Confirmed(age);
         let subscription = Subscription::Open;
-        let bytes = Message::Answer {
-            nonce,
-            standing,
-            subscription,
-            discovery_id: source,
-            version: 0,
-            confirmations: vouched,
-        }
-        .encode();
+        let bytes =
+            Message::Answer { nonce, standing, subscription, discovery_id, version: 0, confirmations }
+                .encode();
         self.rig.say(Event::PeerMessage { from: peer.into(), bytes: &bytes });
     }
 
-    /// The machine that a request is sent to `after` that moment.
-    fn sends_at(&mut self, at: Micros) -> Option<MachineId> {
+    /// Returns the machine that a request is sent to at `at`.
+    fn send_at(&mut self, at: Micros) -> Option<MachineId> {
         assert!(at >= self.rig.now);
         self.rig.now = at;
-        is_sent(&mut self.rig, None)
+        send_request(&mut self.rig, None)
     }
 }
 
-const OLD: DiscoveryId = 1;
-const NEW: DiscoveryId = 2;
+const OLD_DISCOVERY: DiscoveryId = 1;
+const NEW_DISCOVERY: DiscoveryId = 2;
 
 #[test]
-fn after_a_move_no_word_of_others_outlasts_the_deadline_of_the_front_that_takes_it() {
-    // By the new address, just confirmed: what changes until the deadline counts as told by then all the same.
-    let mut front = Standby::confirmed();
+fn after_a_move_no_peer_confirmation_outlasts_the_receivers_deadline() {
+    // The confirmation comes from the new address and is recent: the front must act on changes by its deadline
+    // nevertheless.
+    let mut front = FrontWithPeers::confirmed();
     let moved = front.rig.now;
-    front.rig.move_discovery(NEW);
+    front.rig.move_discovery(NEW_DISCOVERY);
     wait(&mut front.rig, 3 * S);
-    front.hear(NEW, 0);
-    assert!(front.sends_at(moved + 3_950 * MS).is_some());
-    assert_eq!(front.sends_at(moved + 4 * S), None);
-    front.hear(NEW, 0);
+    front.receive_confirmation(NEW_DISCOVERY, 0);
+    assert!(front.send_at(moved + 3_950 * MS).is_some());
+    assert_eq!(front.send_at(moved + 4 * S), None);
+    front.receive_confirmation(NEW_DISCOVERY, 0);
     assert!(front.rig.now < moved + 6 * S);
-    assert_eq!(is_sent(&mut front.rig, None), None, "nor does one that comes later begin anew");
+    assert_eq!(send_request(&mut front.rig, None), None, "a later confirmation must not extend the deadline");
     front.rig.list(ListUpdate::Delta, &[]);
-    assert!(is_sent(&mut front.rig, None).is_some());
-    // Given before the move.
-    let mut front = Standby::confirmed();
+    assert!(send_request(&mut front.rig, None).is_some());
+    // The confirmation was given before the move.
+    let mut front = FrontWithPeers::confirmed();
     wait(&mut front.rig, 5 * S);
-    front.hear(OLD, 0);
+    front.receive_confirmation(OLD_DISCOVERY, 0);
     let moved = front.rig.now;
-    front.rig.move_discovery(NEW);
-    assert_eq!(front.sends_at(moved + 3_950 * MS), Some(3));
-    assert_eq!(front.sends_at(moved + 4 * S), None);
+    front.rig.move_discovery(NEW_DISCOVERY);
+    assert_eq!(front.send_at(moved + 3_950 * MS), Some(3));
+    assert_eq!(front.send_at(moved + 4 * S), None);
 }
 
 #[test]
-fn a_second_move_does_not_put_off_the_deadline_of_the_first() {
-    let mut front = Standby::confirmed();
+fn second_move_does_not_extend_the_deadline_of_the_first() {
+    let mut front = FrontWithPeers::confirmed();
     let moved = front.rig.now;
-    front.rig.move_discovery(NEW);
+    front.rig.move_discovery(NEW_DISCOVERY);
     wait(&mut front.rig, 2 * S);
-    front.rig.move_discovery(OLD);
-    assert!(front.sends_at(moved + 3_950 * MS).is_some());
-    assert_eq!(front.sends_at(moved + 4 * S), None);
+    front.rig.move_discovery(OLD_DISCOVERY);
+    assert!(front.send_at(moved + 3_950 * MS).is_some());
+    assert_eq!(front.send_at(moved + 4 * S), None);
 }
 
 #[test]
-fn the_word_of_a_front_that_goes_by_another_discovery_does_not_count() {
-    // Where fronts name one discovery differently, another name proves nothing before a move...
-    let mut front = Standby::confirmed();
+fn confirmation_from_another_discovery_is_ignored() {
+    // Where fronts have different identifiers for the same discovery, another identifier proves nothing before a
+    // move.
+    let mut front = FrontWithPeers::confirmed();
     wait(&mut front.rig, 7 * S);
-    front.hear(NEW, 0);
-    assert_eq!(is_sent(&mut front.rig, None), Some(3));
-    // ...but does once the own one was heard...
-    let mut front = Standby::confirmed();
+    front.receive_confirmation(NEW_DISCOVERY, 0);
+    assert_eq!(send_request(&mut front.rig, None), Some(3));
+    // It does once another front has sent this front's own identifier.
+    let mut front = FrontWithPeers::confirmed();
     wait(&mut front.rig, 7 * S);
-    front.hear(OLD, 5_900 * MS);
+    front.receive_confirmation(OLD_DISCOVERY, 5_900 * MS);
     wait(&mut front.rig, S);
-    front.hear(NEW, 0);
-    assert_eq!(is_sent(&mut front.rig, None), None);
-    // ...and while a new configuration spreads.
-    for (span, counts) in [(20 * S, false), (31 * S, true)] {
-        let mut front = Standby::confirmed();
-        front.rig.move_discovery(NEW);
+    front.receive_confirmation(NEW_DISCOVERY, 0);
+    assert_eq!(send_request(&mut front.rig, None), None);
+    // It also does while a new configuration spreads.
+    for (span, is_accepted) in [(20 * S, false), (31 * S, true)] {
+        let mut front = FrontWithPeers::confirmed();
+        front.rig.move_discovery(NEW_DISCOVERY);
         front.rig.list(ListUpdate::Delta, &[]);
         front.rig.list(ListUpdate::Failed, &[]);
         wait(&mut front.rig, span);
-        front.hear(OLD, 0);
-        assert_eq!(is_sent(&mut front.rig, None).is_some(), counts, "{span}");
+        front.receive_confirmation(OLD_DISCOVERY, 0);
+        assert_eq!(send_request(&mut front.rig, None).is_some(), is_accepted, "{span}");
     }
 }
 
 #[test]
-fn a_front_that_has_moved_vouches_for_nothing_until_it_has_called_the_new_address() {
-    let mut front = Standby::confirmed();
-    let vouches = |front: &mut Standby| {
-        let Told { standing, source, vouched, .. } = told(&mut front.rig);
-        (standing, source, vouched.len())
+fn moved_front_confirms_nothing_until_the_new_address_answers() {
+    let mut front = FrontWithPeers::confirmed();
+    let confirmed_machines = |front: &mut FrontWithPeers| {
+        let ListAnswer { standing, discovery_id, confirmations, .. } = query_list(&mut front.rig);
+        (standing, discovery_id, confirmations.len())
     };
-    assert_eq!(vouches(&mut front), (Standing::Confirmed(0), OLD, 4));
-    front.rig.move_discovery(NEW);
-    assert_eq!(vouches(&mut front), (Standing::Unknown, NEW, 0));
+    assert_eq!(confirmed_machines(&mut front), (Standing::Confirmed(0), OLD_DISCOVERY, 4));
+    front.rig.move_discovery(NEW_DISCOVERY);
+    assert_eq!(confirmed_machines(&mut front), (Standing::Unknown, NEW_DISCOVERY, 0));
     front.rig.list(ListUpdate::Delta, &[]);
-    assert_eq!(vouches(&mut front), (Standing::Confirmed(0), NEW, 4));
+    assert_eq!(confirmed_machines(&mut front), (Standing::Confirmed(0), NEW_DISCOVERY, 4));
 }
 
 #[test]
-fn what_was_told_and_not_read_ends_what_others_vouched_for_before() {
+fn unread_changes_end_earlier_peer_confirmations() {
     for kind in [ListUpdate::Unreadable, ListUpdate::Stalled] {
-        let mut front = Standby::confirmed();
+        let mut front = FrontWithPeers::confirmed();
         wait(&mut front.rig, 5 * S);
-        front.hear(OLD, 0);
-        assert!(is_sent(&mut front.rig, None).is_some());
+        front.receive_confirmation(OLD_DISCOVERY, 0);
+        assert!(send_request(&mut front.rig, None).is_some());
         front.rig.list(kind, &[]);
-        assert_eq!(is_sent(&mut front.rig, None), None, "{kind:?}");
-        front.hear(OLD, 2 * S);
-        assert_eq!(is_sent(&mut front.rig, None), None, "{kind:?}");
+        assert_eq!(send_request(&mut front.rig, None), None, "{kind:?}");
+        front.receive_confirmation(OLD_DISCOVERY, 2 * S);
+        assert_eq!(send_request(&mut front.rig, None), None, "{kind:?}");
         wait(&mut front.rig, S);
-        front.hear(OLD, 0);
-        assert!(is_sent(&mut front.rig, None).is_some(), "{kind:?}");
+        front.receive_confirmation(OLD_DISCOVERY, 0);
+        assert!(send_request(&mut front.rig, None).is_some(), "{kind:?}");
     }
 }
 
-/// Ticks for `span`. Every call fails, and other fronts answer every question as `answer` has it for the n-th; what was sent at
-/// each step.
-fn cut_off(
+/// Ticks for `span`. Every call fails, and other fronts answer the n-th query with `answer(n)`. Returns what was sent
+/// at each step.
+fn run_with_failing_calls(
     rig: &mut Rig,
     span: Micros,
     answer: impl Fn(usize) -> Message,
 ) -> Vec<(Micros, Option<MachineId>)> {
-    let (until, mut asked, mut sent) = (rig.now + span, 0, Vec::new());
+    let (until, mut answered, mut sent) = (rig.now + span, 0, Vec::new());
     while rig.now < until {
         rig.now += 50 * MS;
         rig.tick();
-        let (asks, called) = (questions(rig), rig.did.contains(&Action::Subscribe(true)));
+        let (queries, called) = (sent_queries(rig), rig.did.contains(&Action::Subscribe(true)));
         if called {
             rig.list(ListUpdate::Failed, &[]);
         }
-        for (peer, nonce) in asks {
-            let Message::Answer {
-                standing,
-                subscription,
-                discovery_id: source,
-                version,
-                confirmations: vouched,
-                ..
-            } = answer(asked)
+        for (peer, nonce) in queries {
+            let Message::Answer { standing, subscription, discovery_id, version, confirmations, .. } =
+                answer(answered)
             else {
                 continue;
             };
-            let told = Message::Answer {
-                nonce,
-                standing,
-                subscription,
-                discovery_id: source,
-                version,
-                confirmations: vouched,
-            };
-            rig.say(Event::PeerMessage { from: peer.into(), bytes: &told.encode() });
-            asked += 1;
+            let reply =
+                Message::Answer { nonce, standing, subscription, discovery_id, version, confirmations };
+            rig.say(Event::PeerMessage { from: peer.into(), bytes: &reply.encode() });
+            answered += 1;
         }
-        sent.push((rig.now, is_sent(rig, Some(CallOutcome::Ok))));
+        sent.push((rig.now, send_request(rig, Some(CallOutcome::Ok))));
     }
     sent
 }
 
-/// A front that reaches nothing, by a list of this version in which machine 3 is as it was.
-fn reaches_nothing(source: DiscoveryId, version: u64) -> Message {
-    let vouched = vec![Confirmation { fingerprint: fingerprint(&entry(3, 1, 0)), age: 0 }];
+/// The answer of a front that cannot reach discovery, whose list has this version and an unchanged machine 3.
+fn unreachable_answer(discovery_id: DiscoveryId, version: u64) -> Message {
+    let confirmations = vec![Confirmation { fingerprint: fingerprint(&entry(3, 1, 0)), age: 0 }];
     let (standing, subscription) = (Standing::Unreachable(0), Subscription::Missing);
-    Message::Answer {
-        nonce: 0,
-        standing,
-        subscription,
-        discovery_id: source,
-        version,
-        confirmations: vouched,
-    }
+    Message::Answer { nonce: 0, standing, subscription, discovery_id, version, confirmations }
 }
 
 #[test]
-fn a_front_that_has_moved_takes_a_discovery_that_does_not_answer_for_a_slow_one() {
-    let mut front = Standby::confirmed();
+fn moved_front_treats_a_silent_discovery_as_slow() {
+    let mut front = FrontWithPeers::confirmed();
     let moved = front.rig.now;
-    front.rig.move_discovery(NEW);
-    let sent = cut_off(&mut front.rig, 20 * S, |_| reaches_nothing(NEW, 0));
+    front.rig.move_discovery(NEW_DISCOVERY);
+    let sent = run_with_failing_calls(&mut front.rig, 20 * S, |_| unreachable_answer(NEW_DISCOVERY, 0));
     assert!(sent.iter().filter(|s| s.0 < moved + 4 * S).all(|s| s.1.is_some()));
     assert!(sent.iter().filter(|s| s.0 >= moved + 4 * S).all(|s| s.1.is_none()));
 }
 
 #[test]
-fn a_crowd_that_keeps_most_fronts_waiting_is_no_outage() {
-    // One in twenty has a list just confirmed, and all others reach nothing.
-    let mut front = Standby::confirmed();
-    let begun = front.rig.now;
+fn overload_that_keeps_most_fronts_waiting_is_no_outage() {
+    // One front in twenty has a list just confirmed, and all others cannot reach discovery.
+    let mut front = FrontWithPeers::confirmed();
+    let began_at = front.rig.now;
     front.rig.list(ListUpdate::Failed, &[]);
-    let sent = cut_off(&mut front.rig, 20 * S, |n| match reaches_nothing(OLD, 0) {
-        Message::Answer { nonce, subscription, discovery_id: source, version, .. } if n % 20 == 0 => {
-            let standing = Standing::Confirmed(0);
-            Message::Answer {
-                nonce,
-                standing,
-                subscription,
-                discovery_id: source,
-                version,
-                confirmations: vec![],
+    let sent =
+        run_with_failing_calls(&mut front.rig, 20 * S, |n| match unreachable_answer(OLD_DISCOVERY, 0) {
+            Message::Answer { nonce, subscription, discovery_id, version, .. } if n % 20 == 0 => {
+                let standing = Standing::Confirmed(0);
+                Message::Answer {
+                    nonce,
+                    standing,
+                    subscription,
+                    discovery_id,
+                    version,
+                    confirmations: vec![],
+                }
             }
-        }
-        other => other,
-    });
-    assert!(sent.iter().filter(|s| s.0 > begun + 6 * S).all(|s| s.1.is_none()));
+            other => other,
+        });
+    assert!(sent.iter().filter(|s| s.0 > began_at + 6 * S).all(|s| s.1.is_none()));
 }
 
 #[test]
-fn only_a_front_that_discovery_went_away_from_says_that_it_reaches_nothing() {
-    let nobody = |_| Message::Query { nonce: 0, version: 0 };
-    let mut started = Rig::new(watching(0, 3, true), 4);
-    cut_off(&mut started, 30 * S, nobody);
-    assert_eq!(told(&mut started).standing, Standing::Unknown);
-    let mut moved = Standby::confirmed().rig;
-    moved.move_discovery(NEW);
-    cut_off(&mut moved, 30 * S, nobody);
-    assert_eq!(told(&mut moved).standing, Standing::Unknown);
-    let mut left = Standby::confirmed().rig;
-    left.list(ListUpdate::Failed, &[]);
-    cut_off(&mut left, 30 * S, nobody);
-    assert!(matches!(told(&mut left).standing, Standing::Unreachable(_)));
+fn only_a_front_that_lost_its_subscription_reports_discovery_unreachable() {
+    let no_answer = |_| Message::Query { nonce: 0, version: 0 };
+    let mut started = Rig::new(subscribed_settings(0, 3, true), 4);
+    run_with_failing_calls(&mut started, 30 * S, no_answer);
+    assert_eq!(query_list(&mut started).standing, Standing::Unknown);
+    let mut moved = FrontWithPeers::confirmed().rig;
+    moved.move_discovery(NEW_DISCOVERY);
+    run_with_failing_calls(&mut moved, 30 * S, no_answer);
+    assert_eq!(query_list(&mut moved).standing, Standing::Unknown);
+    let mut lost = FrontWithPeers::confirmed().rig;
+    lost.list(ListUpdate::Failed, &[]);
+    run_with_failing_calls(&mut lost, 30 * S, no_answer);
+    assert!(matches!(query_list(&mut lost).standing, Standing::Unreachable(_)));
 }
 
 #[test]
-fn in_an_outage_no_machine_is_used_that_a_newer_list_had_otherwise() {
-    // A front that restarts with an old list among others that cannot reach discovery either.
+fn outage_uses_no_machine_that_differs_in_a_newer_list() {
+    // A front restarts with an old list among others that cannot reach discovery either.
     for (version, only) in [(0, None), (7, Some(3))] {
-        let mut rig = Rig::new(watching(0, 9, true), 4);
-        rig.say(Event::DiscoveryAddress { discovery_id: OLD, moved: false });
-        let sent = cut_off(&mut rig, 20 * S, |_| reaches_nothing(OLD, version));
-        let late: Vec<MachineId> = sent.iter().filter(|s| s.0 > 105 * S).filter_map(|s| s.1).collect();
-        assert!(!late.is_empty());
-        assert_eq!(late.iter().all(|machine| Some(*machine) == only), only.is_some(), "{late:?}");
+        let mut rig = Rig::new(subscribed_settings(0, 9, true), 4);
+        rig.say(Event::DiscoveryAddress { discovery_id: OLD_DISCOVERY, moved: false });
+        let sent = run_with_failing_calls(&mut rig, 20 * S, |_| unreachable_answer(OLD_DISCOVERY, version));
+        let late_machines: Vec<MachineId> =
+            sent.iter().filter(|s| s.0 > 105 * S).filter_map(|s| s.1).collect();
+        assert!(!late_machines.is_empty());
+        assert_eq!(
+            late_machines.iter().all(|machine| Some(*machine) == only),
+            only.is_some(),
+            "{late_machines:?}"
+        );
     }
 }
 
-/// The answer of a front without a list of its own that stands so towards discovery.
-fn standing_so(standing: Standing) -> Message {
+/// The answer of a front without a list of its own and with this standing.
+fn answer_with_standing(standing: Standing) -> Message {
     let subscription = Subscription::Missing;
-    Message::Answer { nonce: 0, standing, subscription, discovery_id: OLD, version: 0, confirmations: vec![] }
+    Message::Answer {
+        nonce: 0,
+        standing,
+        subscription,
+        discovery_id: OLD_DISCOVERY,
+        version: 0,
+        confirmations: vec![],
+    }
 }
 
 #[test]
-fn the_word_that_discovery_is_out_of_reach_lasts_from_the_last_call_that_failed() {
-    // Nobody has called since the outage began: each says so ever later, and this front's own call is still out.
-    let mut front = Standby::confirmed().rig;
+fn outage_evidence_ages_from_the_last_failed_call() {
+    // No front has called since the outage began: the reports age, and this front's own call is still in flight.
+    let mut front = FrontWithPeers::confirmed().rig;
     front.list(ListUpdate::Failed, &[]);
-    let begun = front.now;
+    let began_at = front.now;
     let mut sent = Vec::new();
-    while front.now < begun + 9 * S {
+    while front.now < began_at + 9 * S {
         front.now += 50 * MS;
         front.tick();
-        let age = front.now - begun;
-        for (peer, nonce) in questions(&front) {
-            answer(&mut front, peer, nonce, Standing::Unreachable(age), vec![]);
+        let age = front.now - began_at;
+        for (peer, nonce) in sent_queries(&front) {
+            send_answer(&mut front, peer, nonce, Standing::Unreachable(age), vec![]);
         }
-        sent.push((front.now, is_sent(&mut front, Some(CallOutcome::Ok)).is_some()));
+        sent.push((front.now, send_request(&mut front, Some(CallOutcome::Ok)).is_some()));
     }
-    assert!(sent.iter().all(|(at, sent)| *sent == (*at < begun + 6 * S)), "{sent:?}");
-    // One call later that failed is worth as much again, though another made it.
-    answer_next(&mut front, Standing::Unreachable(S));
+    assert!(sent.iter().all(|(at, sent)| *sent == (*at < began_at + 6 * S)), "{sent:?}");
+    // One later failed call is evidence for as long again, even if another front made it.
+    answer_next_queries(&mut front, Standing::Unreachable(S));
     front.tick();
-    let tells =
+    let is_logged =
         |action: &Action| matches!(action, Action::Log(line) if line.contains("Outage (last failed call 1"));
-    assert!(front.did.iter().any(tells), "{:?}", front.did);
-    answer_next(&mut front, Standing::Unreachable(9 * S));
-    assert!(is_sent(&mut front, Some(CallOutcome::Ok)).is_some());
-    assert!(matches!(told(&mut front).standing, Standing::Unreachable(age) if (S..2 * S).contains(&age)));
+    assert!(front.did.iter().any(is_logged), "{:?}", front.did);
+    answer_next_queries(&mut front, Standing::Unreachable(9 * S));
+    assert!(send_request(&mut front, Some(CallOutcome::Ok)).is_some());
+    assert!(
+        matches!(query_list(&mut front).standing, Standing::Unreachable(age) if (S..2 * S).contains(&age))
+    );
 }
 
-/// Answers the next questions so.
-fn answer_next(rig: &mut Rig, standing: Standing) {
-    for (peer, nonce) in asked(rig) {
-        answer(rig, peer, nonce, standing, vec![]);
+/// Answers the next queries with this standing.
+fn answer_next_queries(rig: &mut Rig, standing: Standing) {
+    for (peer, nonce) in wait_for_queries(rig) {
+        send_answer(rig, peer, nonce, standing, vec![]);
     }
 }
 
 #[test]
-fn that_discovery_was_at_work_is_passed_on_with_its_age_and_not_forgotten_for_calls_that_fail() {
-    let mut front = Standby::confirmed().rig;
+fn evidence_that_discovery_is_up_is_passed_on_with_its_age_and_outlives_failed_calls() {
+    let mut front = FrontWithPeers::confirmed().rig;
     front.list(ListUpdate::Failed, &[]);
     wait(&mut front, 5 * S);
-    answer_next(&mut front, Standing::Unreadable(2 * S));
-    let heard = front.now;
-    let sent = cut_off(&mut front, 5 * S, |_| standing_so(Standing::Unreachable(0)));
-    assert!(sent.iter().filter(|sent| sent.0 > heard + S).all(|sent| sent.1.is_none()), "{sent:?}");
-    let age = front.now - heard + 2 * S;
+    answer_next_queries(&mut front, Standing::Unreadable(2 * S));
+    let answered_at = front.now;
+    let sent = run_with_failing_calls(&mut front, 5 * S, |_| answer_with_standing(Standing::Unreachable(0)));
+    assert!(sent.iter().filter(|sent| sent.0 > answered_at + S).all(|sent| sent.1.is_none()), "{sent:?}");
+    let age = front.now - answered_at + 2 * S;
     assert!(
-        matches!(told(&mut front).standing, Standing::Unreadable(told) if (age..age + 100 * MS).contains(&told))
+        matches!(query_list(&mut front).standing, Standing::Unreadable(reported) if (age..age + 100 * MS).contains(&reported))
     );
-    // What was at work before this front's list was confirmed tells nothing new.
-    let mut front = Standby::confirmed().rig;
+    // Evidence that discovery was up before this front's list was confirmed adds nothing new.
+    let mut front = FrontWithPeers::confirmed().rig;
     front.list(ListUpdate::Failed, &[]);
     wait(&mut front, 5 * S);
-    answer_next(&mut front, Standing::Unreadable(6 * S));
-    let sent = cut_off(&mut front, 5 * S, |_| standing_so(Standing::Unreachable(0)));
+    answer_next_queries(&mut front, Standing::Unreadable(6 * S));
+    let sent = run_with_failing_calls(&mut front, 5 * S, |_| answer_with_standing(Standing::Unreachable(0)));
     assert!(sent.iter().all(|sent| sent.1.is_some()), "{sent:?}");
 }
 
 #[test]
-fn what_this_front_could_not_read_is_not_forgotten_in_an_outage_that_follows() {
+fn unread_changes_are_remembered_in_a_following_outage() {
     for kind in [ListUpdate::Unreadable, ListUpdate::Stalled] {
-        let mut front = Standby::confirmed().rig;
+        let mut front = FrontWithPeers::confirmed().rig;
         front.list(kind, &[]);
-        let sent = cut_off(&mut front, 20 * S, |_| reaches_nothing(OLD, 7));
+        let sent = run_with_failing_calls(&mut front, 20 * S, |_| unreachable_answer(OLD_DISCOVERY, 7));
         assert!(sent.iter().all(|sent| sent.1.is_none()), "{kind:?}: {sent:?}");
     }
 }
 
 #[test]
-fn the_newest_list_known_of_counts_in_an_outage_though_an_older_one_has_a_lease_left() {
-    let mut front = Standby::confirmed();
+fn newest_known_list_applies_in_an_outage_even_if_an_older_one_has_a_lease() {
+    let mut front = FrontWithPeers::confirmed();
     front.rig.list(ListUpdate::Failed, &[]);
     wait(&mut front.rig, 5 * S);
-    // Another vouches for machine 3 by the list that this front has...
-    front.hear(OLD, 3 * S);
-    // ...and discovery went away after it had told others of a newer one, without machine 3.
-    let newer = |_| Message::Answer {
+    // Another front confirms machine 3 by the list that this front has.
+    front.receive_confirmation(OLD_DISCOVERY, 3 * S);
+    // Discovery went down after it had sent other fronts a newer list without machine 3.
+    let newer_list = |_| Message::Answer {
         nonce: 0,
         standing: Standing::Unreachable(0),
         subscription: Subscription::Missing,
-        discovery_id: OLD,
+        discovery_id: OLD_DISCOVERY,
         version: 7,
         confirmations: vec![Confirmation { fingerprint: fingerprint(&entry(2, 1, 0)), age: 0 }],
     };
-    let heard = front.rig.now;
-    let sent = cut_off(&mut front.rig, 15 * S, newer);
-    let late: Vec<_> = sent.iter().filter(|sent| sent.0 > heard + 8 * S).map(|sent| sent.1).collect();
-    assert!(late.iter().all(|machine| *machine == Some(2)), "{late:?}");
-    // It passes that on as of the newer list.
-    assert_eq!(told(&mut front.rig).version, 7);
+    let answered_at = front.rig.now;
+    let sent = run_with_failing_calls(&mut front.rig, 15 * S, newer_list);
+    let late_machines: Vec<_> =
+        sent.iter().filter(|sent| sent.0 > answered_at + 8 * S).map(|sent| sent.1).collect();
+    assert!(late_machines.iter().all(|machine| *machine == Some(2)), "{late_machines:?}");
+    // The front passes that on with the version of the newer list.
+    assert_eq!(query_list(&mut front.rig).version, 7);
 }
 
 #[test]
-fn calls_after_a_move_take_no_longer_than_discovery_needs_for_them() {
-    // 300 fronts, each at its place in 8 s until it hears that a call costs 10 ms and who waits.
+fn calls_after_a_move_are_spread_over_the_time_that_discovery_needs() {
+    // Each of 300 fronts has its slot in 8 s until it learns that a call costs 10 ms and how many fronts wait.
     for (waiting, within) in [(true, 5 * S), (false, S)] {
-        for me in [10, 100, 290] {
-            let mut rig = Rig::new(watching(me, 300, true), 4);
-            rig.say(Event::DiscoveryAddress { discovery_id: OLD, moved: false });
+        for front_id in [10, 100, 290] {
+            let mut rig = Rig::new(subscribed_settings(front_id, 300, true), 4);
+            rig.say(Event::DiscoveryAddress { discovery_id: OLD_DISCOVERY, moved: false });
             rig.list(ListUpdate::Delta, &[]);
-            rig.move_discovery(NEW);
+            rig.move_discovery(NEW_DISCOVERY);
             let moved = rig.now;
             let mut called = None;
             while called.is_none() {
                 rig.now += 50 * MS;
                 rig.tick();
                 called = rig.did.contains(&Action::Subscribe(true)).then_some(rig.now);
-                for (n, (peer, nonce)) in questions(&rig).into_iter().enumerate() {
+                for (n, (peer, nonce)) in sent_queries(&rig).into_iter().enumerate() {
                     let subscription = match waiting && n > 0 {
                         true => Subscription::Missing,
                         false => Subscription::OpenedRecently(10 * MS),
                     };
-                    let (standing, source) = (Standing::Unknown, NEW);
+                    let (standing, discovery_id) = (Standing::Unknown, NEW_DISCOVERY);
                     let answer = Message::Answer {
                         nonce,
                         standing,
                         subscription,
-                        discovery_id: source,
+                        discovery_id,
                         version: 0,
                         confirmations: vec![],
                     };
                     rig.say(Event::PeerMessage { from: peer.into(), bytes: &answer.encode() });
                 }
             }
-            assert!(called.is_some_and(|at| at <= moved + within), "front {me}: {called:?} after {moved}");
+            assert!(
+                called.is_some_and(|at| at <= moved + within),
+                "front {front_id}: {called:?} after {moved}"
+            );
         }
     }
 }
