--- a/crates/yarrowspoke-front/src/driver.rs
+++ b/crates/yarrowspoke-front/src/driver.rs
@@ -1,4 +1,4 @@
-//! Drives the decision module: one clock, its timers, events in order, actions carried out.
+//! Event loop around the decision module: feeds it events in order, runs its timers and carries out its actions.
 
 use crate::event_bus::EventBus;
 use crate::exchange::{Answer, Exchange};
@@ -24,171 +24,174 @@
 use yarrowspoke::Front;
 use yarrowspoke_settings::Settings;
 
-/// Inputs taken before the other tasks have their turn.
-const INPUTS_AT_ONCE: usize = 64;
-/// Votes that may be on their way together.
-const VOTE_LIMIT: usize = 8;
-/// A probe without an answer for so long has failed.
-const PROBE_LIMIT: Micros = 250_000;
-/// Period of the sweep over kept connections.
-const SWEEP: Micros = 500_000;
-/// A driver that has not turned for so long stood still: its shortest timer is due far more often.
-const STANDSTILL: Micros = 1_000_000;
-/// Sweeps from one report of what is held to the next.
-const REPORT_EVERY: u32 = 10;
-
-/// An attempt on its way; dropping its task closes its connection.
-struct Flight {
+/// Inputs handled before the loop yields to other tasks.
+const INPUT_BATCH: usize = 64;
+/// Votes that may be in flight at the same time.
+const MAX_VOTES_IN_FLIGHT: usize = 8;
+/// Time after which a probe without a response has failed, in microseconds.
+const PROBE_TIMEOUT: Micros = 250_000;
+/// Period of the sweep over idle connections, in microseconds.
+const SWEEP_PERIOD: Micros = 500_000;
+/// Gap between two turns of the loop, in microseconds, above which the process must have been paused: the shortest timer is
+/// due far more often.
+const PROCESS_PAUSE: Micros = 1_000_000;
+/// Sweeps between two usage reports in the log.
+const SWEEPS_PER_REPORT: u32 = 10;
+
+/// An attempt in flight; dropping its task closes its connection.
+struct InFlightAttempt {
     machine: MachineId,
     build: Build,
-    sent: Micros,
-    expires: DueAt,
+    sent_at: Micros,
+    timeout_timer: TimerKey,
     progress: Rc<Cell<Progress>>,
     _task: Task<()>,
 }
 
-struct Open {
+struct OpenRequest {
     exchange: Rc<Exchange>,
-    overdue: DueAt,
-    attempts: u16,
-    out: u16,
-    /// When the first of its attempts that have ended and may have run was sent.
-    ran_from: Option<Micros>,
+    overdue_timer: TimerKey,
+    attempts_sent: u16,
+    in_flight: u16,
+    /// Send time of the earliest attempt that has ended and may have run.
+    may_have_run_since: Option<Micros>,
 }
 
-/// When a timer is due, and its number, so that each can be taken back.
-type DueAt = (Micros, u64);
+/// Due time of a timer and its sequence number, which make each timer unique so that it can be cancelled.
+type TimerKey = (Micros, u64);
 
 #[derive(Clone, Copy)]
-enum Due {
+enum TimerKind {
     Module(u64),
     Attempt(RequestId, u16),
-    Overdue(RequestId),
+    AnswerOverdue(RequestId),
     Sweep,
 }
 
-/// Where the driver reaches everybody.
+/// Connections of the driver to everything outside the process.
 pub struct RemoteServices {
-    /// Runs the tasks.
+    /// Executor of the driver's tasks.
     pub executor: Rc<LocalExecutor<'static>>,
-    /// Machines.
+    /// Connections to the machines.
     pub machines: Rc<Machines>,
-    /// Discovery.
+    /// Client of discovery.
     pub discovery: Rc<Discovery>,
-    /// The platform, if there is one.
+    /// Address of the platform, if one is configured.
     pub platform: Option<SocketAddr>,
-    /// Peers, if there are any.
+    /// Datagram socket for the peers, if any are configured.
     pub peers: Option<Rc<Peers>>,
 }
 
-/// What the module is still to be told after the event in hand.
-enum Follow {
-    Outcome {
+/// An event that is queued for the decision module until the present one has been handled.
+enum PendingEvent {
+    AttemptEnded {
         id: RequestId,
         attempt: u16,
         machine: MachineId,
-        ending: CallOutcome,
-        took: Micros,
-        load: Vec<f32>,
+        outcome: CallOutcome,
+        duration: Micros,
+        load_report: Vec<f32>,
     },
-    News(RolloutStatus),
+    RolloutStatus(RolloutStatus),
 }
 
-/// Owns the decision module.
+/// Owns the decision module and everything that it acts on.
 pub struct Driver {
     front: Front,
     settings: Settings,
-    hub: Rc<EventBus>,
-    outside: RemoteServices,
-    open: BTreeMap<RequestId, Open>,
-    flights: BTreeMap<(RequestId, u16), Flight>,
-    /// Danger: entries of ended requests would stay for as long as their clients said they would wait.
-    timers: BTreeMap<DueAt, Due>,
-    timers_set: u64,
-    /// When the driver last looked at the time, to notice that the process stood still.
-    turned: Micros,
-    listed: BTreeMap<MachineId, (MachineState, Build)>,
-    news: Option<RolloutStatus>,
-    /// The newest state that the platform itself has told.
-    heard: Option<RolloutStatus>,
-    watch: Option<Task<()>>,
-    /// The watch before, until the present one has been answered: what was written to it counts as told.
-    leaving: Option<Task<()>>,
-    fetch: Option<Task<()>>,
-    _listens: Option<Task<()>>,
-    votes: Rc<Cell<usize>>,
+    event_bus: Rc<EventBus>,
+    remotes: RemoteServices,
+    open_requests: BTreeMap<RequestId, OpenRequest>,
+    attempts_in_flight: BTreeMap<(RequestId, u16), InFlightAttempt>,
+    /// Timers by due time. Those of a finished request are removed with it: otherwise they would stay for as long as the
+    /// client said that it would wait.
+    timers: BTreeMap<TimerKey, TimerKind>,
+    timer_sequence: u64,
+    /// When the driver last read the clock, used to detect that the process was paused.
+    last_turn_at: Micros,
+    listed_machines: BTreeMap<MachineId, (MachineState, Build)>,
+    rollout_status: Option<RolloutStatus>,
+    /// The newest status that the platform itself reported.
+    platform_status: Option<RolloutStatus>,
+    list_watch: Option<Task<()>>,
+    /// The previous watch, kept until the present one gets a response, since this front counts as notified of whatever
+    /// discovery wrote to it.
+    superseded_watch: Option<Task<()>>,
+    list_fetch: Option<Task<()>>,
+    _platform_listener: Option<Task<()>>,
+    votes_in_flight: Rc<Cell<usize>>,
     sweeps: u32,
-    follow: VecDeque<Follow>,
-    watched: Option<ShadowSettings>,
+    pending_events: VecDeque<PendingEvent>,
+    shadow: Option<ShadowSettings>,
 }
 
 impl Driver {
-    /// Starts the module and hands it what the configuration holds: the list and the newest build's state.
+    /// Starts the decision module with the list and the rollout status from the configuration.
     pub fn start(
         seed: u64,
         settings: Settings,
-        known: (u64, Vec<Row>),
-        news: Option<RolloutStatus>,
-        hub: Rc<EventBus>,
-        outside: RemoteServices,
+        initial_list: (u64, Vec<Row>),
+        rollout_status: Option<RolloutStatus>,
+        event_bus: Rc<EventBus>,
+        remotes: RemoteServices,
     ) -> Self {
-        let (now, mut actions) = (hub.clock.now(), Vec::new());
+        let (now, mut actions) = (event_bus.clock.now(), Vec::new());
         let front = Front::new(seed, settings.module.clone(), now, &mut actions);
         let mut driver = Self {
             front,
             settings,
-            hub,
-            outside,
-            open: BTreeMap::new(),
-            flights: BTreeMap::new(),
+            event_bus,
+            remotes,
+            open_requests: BTreeMap::new(),
+            attempts_in_flight: BTreeMap::new(),
             timers: BTreeMap::new(),
-            timers_set: 0,
-            turned: now,
-            listed: BTreeMap::new(),
-            news: None,
-            heard: None,
-            watch: None,
-            leaving: None,
-            fetch: None,
-            _listens: None,
-            votes: Rc::default(),
+            timer_sequence: 0,
+            last_turn_at: now,
+            listed_machines: BTreeMap::new(),
+            rollout_status: None,
+            platform_status: None,
+            list_watch: None,
+            superseded_watch: None,
+            list_fetch: None,
+            _platform_listener: None,
+            votes_in_flight: Rc::default(),
             sweeps: 0,
-            follow: VecDeque::new(),
-            watched: None,
+            pending_events: VecDeque::new(),
+            shadow: None,
         };
-        driver.listen();
-        actions.into_iter().for_each(|a| driver.act(now, a));
-        let source = driver.outside.discovery.discovery_id();
-        driver.tell(Event::DiscoveryAddress { discovery_id: source, moved: false });
-        driver.list(ListUpdate::Cached, known.0, known.1);
-        driver.follow_up();
-        if let Some(news) = news {
-            driver.handle_input(Input::RolloutStatus(news));
-        }
-        driver.due(now + SWEEP, Due::Sweep);
-        // Danger: where lists are pushed, what discovery has counts as told from the first moment, and what the
-        // configuration holds may be older.
-        driver.hub.ready.set(!driver.settings.transport.pushed);
+        driver.listen_to_platform();
+        actions.into_iter().for_each(|a| driver.perform(now, a));
+        let discovery_id = driver.remotes.discovery.discovery_id();
+        driver.handle_event(Event::DiscoveryAddress { discovery_id, moved: false });
+        driver.update_list(ListUpdate::Cached, initial_list.0, initial_list.1);
+        driver.process_pending_events();
+        if let Some(status) = rollout_status {
+            driver.handle_input(Input::RolloutStatus(status));
+        }
+        driver.set_timer(now + SWEEP_PERIOD, TimerKind::Sweep);
+        // Where lists are pushed, the front counts as notified of discovery's list from the start, and the configured list
+        // may be older: the front is ready only after the first response.
+        driver.event_bus.ready.set(!driver.settings.transport.pushed);
         driver
     }
 
-    /// Counts from now on what these settings would have changed.
+    /// Starts counting the decisions that would differ under these settings.
     pub fn enable_shadow_settings(&mut self, settings: yarrowspoke::interface::Settings) {
-        self.watched = Some(ShadowSettings::new(settings));
+        self.shadow = Some(ShadowSettings::new(settings));
     }
 
-    /// Requests that are not done with, and timers that are set.
+    /// Returns the number of unfinished requests and of pending timers.
     pub fn open_requests_and_timers(&self) -> (usize, usize) {
-        (self.open.len(), self.timers.len())
+        (self.open_requests.len(), self.timers.len())
     }
 
-    /// Serves for ever.
+    /// Runs the event loop; never returns.
     pub async fn run(mut self, inputs: Receiver<Input>) {
-        self.turned = self.hub.clock.now();
+        self.last_turn_at = self.event_bus.clock.now();
         loop {
-            self.notice_standstill();
-            self.fire();
-            let next = self.timers.first_key_value().map(|t| self.hub.clock.instant(t.0 .0));
+            self.detect_process_pause();
+            self.fire_due_timers();
+            let next = self.timers.first_key_value().map(|t| self.event_bus.clock.instant(t.0 .0));
             let timer = async {
                 match next {
                     Some(at) => Timer::at(at).await,
@@ -198,9 +201,9 @@
             };
             let input = future::or(async { inputs.recv().await.ok() }, timer).await;
             if let Some(first) = input {
-                let more = (1..INPUTS_AT_ONCE).map_while(|_| inputs.try_recv().ok());
+                let more = (1..INPUT_BATCH).map_while(|_| inputs.try_recv().ok());
                 for input in std::iter::once(first).chain(more) {
-                    self.notice_standstill();
+                    self.detect_process_pause();
                     self.handle_input(input);
                 }
             }
@@ -208,158 +211,171 @@
         }
     }
 
-    /// Looks at the time since it was last looked at. Danger: on a busy machine a stop meets a driver that works as often as
-    /// one that waits; looked at around the wait alone, the first send after it stands on the list from before.
-    fn notice_standstill(&mut self) {
-        let now = self.hub.clock.now();
-        let still = now - std::mem::replace(&mut self.turned, now);
-        if still > STANDSTILL {
-            self.stood_still(still);
+    /// Detects a pause of the process from the time since the last call. On a busy host a pause hits a driver that is working
+    /// as often as one that is waiting: a check around the wait alone would let the first send after a pause use the old list.
+    fn detect_process_pause(&mut self) {
+        let now = self.event_bus.clock.now();
+        let pause = now - std::mem::replace(&mut self.last_turn_at, now);
+        if pause > PROCESS_PAUSE {
+            self.on_process_pause(pause);
         }
     }
 
-    /// A process that stood still goes on with what it knew before, while news wait to be read: the list has to be confirmed
-    /// before anything is sent on it.
-    fn stood_still(&mut self, span: Micros) {
-        log::warn!(span; "stood still; the list is let go until it is confirmed");
-        // Danger: an answer that has waited to be read says that the list was current when it was written, not now.
-        self.watch(false);
-        self.tell(Event::List { kind: ListUpdate::Stalled, version: 0, entries: &[] });
+    /// After a pause the process resumes with its old state while unread updates wait in its sockets, so the list must be
+    /// confirmed before anything is sent.
+    fn on_process_pause(&mut self, span: Micros) {
+        log::warn!(span; "process was paused; the machine list is not used until it is confirmed");
+        // A response that waited unread shows that the list was current when the response was written, not that it is now.
+        self.set_watch(false);
+        self.handle_event(Event::List { kind: ListUpdate::Stalled, version: 0, entries: &[] });
     }
 
-    /// Tells now and then what is held, and what broke attempts since.
-    fn report_held(&self) {
-        let ((clients, lines), [fresh, kept]) =
-            (self.hub.descriptors.in_use(), self.hub.idle_clients.each_ref().map(|c| c.get()));
-        let (idle, broken) =
-            (self.outside.machines.idle_count(), self.outside.machines.take_failure_counts());
+    /// Logs the connections and requests in use, and the attempt failures since the last report.
+    fn log_usage(&self) {
+        let ((clients, machine_connections), [fresh, kept]) =
+            (self.event_bus.descriptors.in_use(), self.event_bus.idle_clients.each_ref().map(|c| c.get()));
+        let (idle, failures) =
+            (self.remotes.machines.idle_count(), self.remotes.machines.take_failure_counts());
         log::info!(
-            "clients {clients} ({fresh} new, {kept} kept idle), requests {}, attempts out {}, \
-             connections to machines {lines} ({idle} idle), attempts broken {broken:?}",
-            self.open.len(),
-            self.flights.len(),
+            "clients {clients} ({fresh} new, {kept} kept idle), requests {}, attempts in flight {}, \
+             connections to machines {machine_connections} ({idle} idle), attempts failed {failures:?}",
+            self.open_requests.len(),
+            self.attempts_in_flight.len(),
         );
-        let calls = self.outside.discovery.take_counts();
+        let calls = self.remotes.discovery.take_counts();
         log::info!(
             "list: version {}, last confirmed {:?} ago; calls to discovery: {} opened, {} renewed, failed {:?}, \
              slowest opening {:?}; since the start {:?}",
-            self.outside.discovery.index(),
-            self.outside.discovery.last_answered_at().map(|at| at.elapsed()),
+            self.remotes.discovery.index(),
+            self.remotes.discovery.last_answered_at().map(|at| at.elapsed()),
             calls.opened,
             calls.renewed,
             calls.failed,
             calls.slowest_open,
             self.front.membership_counts(),
         );
-        if let Some((events, counts)) = self.watched.as_ref().map(ShadowSettings::counts) {
-            log::info!("watch: of {events} events otherwise under the settings watched: {counts:?}");
+        if let Some((events, counts)) = self.shadow.as_ref().map(ShadowSettings::counts) {
+            log::info!("watch: {events} events, decisions that differ under the shadow settings: {counts:?}");
         }
-        for told in [self.hub.classifier.report(), self.hub.ledger_writer.report()].into_iter().flatten() {
-            log::info!("{told}");
+        for line in
+            [self.event_bus.classifier.report(), self.event_bus.ledger_writer.report()].into_iter().flatten()
+        {
+            log::info!("{line}");
         }
     }
 
-    /// At a limit, tells what holds the places.
-    fn report(&self) {
-        let (((clients, held), (seats, lines)), idle) = (
-            (self.hub.descriptors.in_use(), self.hub.descriptors.limits()),
-            self.outside.machines.idle_count(),
+    /// Logs what uses the descriptors, if one of their limits is reached.
+    fn log_limit_reached(&self) {
+        let (((clients, machine_connections), (client_limit, machine_limit)), idle) = (
+            (self.event_bus.descriptors.in_use(), self.event_bus.descriptors.limits()),
+            self.remotes.machines.idle_count(),
         );
-        if clients < seats && held - idle < lines && !self.hub.descriptors.is_full() {
+        if clients < client_limit
+            && machine_connections - idle < machine_limit
+            && !self.event_bus.descriptors.is_full()
+        {
             return;
         }
-        let unsent = self.flights.values().filter(|f| f.progress.get() < Progress::Written).count();
-        let [fresh, kept] = self.hub.idle_clients.each_ref().map(|c| c.get());
-        let first = self.hub.max_first_byte_wait.take();
-        let waiting = self.open.values().filter(|o| !o.exchange.is_finished()).count();
-        let out = self.flights.len();
+        let unsent =
+            self.attempts_in_flight.values().filter(|f| f.progress.get() < Progress::Written).count();
+        let [fresh, kept] = self.event_bus.idle_clients.each_ref().map(|c| c.get());
+        let first_byte_wait = self.event_bus.max_first_byte_wait.take();
+        let waiting = self.open_requests.values().filter(|o| !o.exchange.is_finished()).count();
+        let in_flight = self.attempts_in_flight.len();
         log::warn!(
-            "at a limit: clients {clients} of {seats} ({fresh} new, {kept} kept idle, \
-             first bytes up to {first} us), requests waiting {waiting}, attempts out {out} \
-             ({unsent} unsent), connections to machines {held} of {lines} ({idle} idle)"
+            "at a limit: clients {clients} of {client_limit} ({fresh} new, {kept} kept idle, \
+             first bytes up to {first_byte_wait} us), requests waiting {waiting}, attempts in flight {in_flight} \
+             ({unsent} unsent), connections to machines {machine_connections} of {machine_limit} ({idle} idle)"
         );
     }
 
-    fn due(&mut self, at: Micros, what: Due) -> DueAt {
-        self.timers_set += 1;
-        self.timers.insert((at, self.timers_set), what);
-        (at, self.timers_set)
+    fn set_timer(&mut self, at: Micros, kind: TimerKind) -> TimerKey {
+        self.timer_sequence += 1;
+        self.timers.insert((at, self.timer_sequence), kind);
+        (at, self.timer_sequence)
     }
 
-    fn fire(&mut self) {
-        let now = self.hub.clock.now();
+    fn fire_due_timers(&mut self) {
+        let now = self.event_bus.clock.now();
         while let Some(first) = self.timers.first_entry().filter(|t| t.key().0 <= now) {
             match first.remove() {
-                Due::Module(name) => self.tell(Event::Timer { name }),
-                Due::Attempt(id, attempt) => self.expire(id, attempt),
-                Due::Overdue(id) => self.overdue(id),
-                Due::Sweep => {
-                    self.outside.machines.sweep(now);
-                    self.hub.ledger_writer.write_snapshot(now, &self.settings.names);
-                    self.report();
+                TimerKind::Module(name) => self.handle_event(Event::Timer { name }),
+                TimerKind::Attempt(id, attempt) => self.on_attempt_timeout(id, attempt),
+                TimerKind::AnswerOverdue(id) => self.on_answer_overdue(id),
+                TimerKind::Sweep => {
+                    self.remotes.machines.sweep(now);
+                    self.event_bus.ledger_writer.write_snapshot(now, &self.settings.names);
+                    self.log_limit_reached();
                     self.sweeps += 1;
-                    if self.sweeps.is_multiple_of(REPORT_EVERY) {
-                        self.report_held();
+                    if self.sweeps.is_multiple_of(SWEEPS_PER_REPORT) {
+                        self.log_usage();
                     }
-                    self.due(now + SWEEP, Due::Sweep);
+                    self.set_timer(now + SWEEP_PERIOD, TimerKind::Sweep);
                 }
             }
-            self.follow_up();
+            self.process_pending_events();
         }
     }
 
-    /// Takes one input, and carries out what follows from it.
+    /// Handles one input and the events that follow from it.
     pub fn handle_input(&mut self, input: Input) {
         match input {
-            Input::Arrived(exchange) => self.arrived(exchange),
-            Input::ClientLeft(id) => self.left(id),
+            Input::Arrived(exchange) => self.on_request(exchange),
+            Input::ClientLeft(id) => self.on_client_left(id),
             Input::AttemptEnded(id, attempt, Ok(reply)) => {
                 let report = reply.load_report.as_deref().unwrap_or_default();
-                let load = parse_load_report(report, &self.settings.names.load_fields);
+                let load_report = parse_load_report(report, &self.settings.names.load_fields);
                 if reply.outcome == CallOutcome::Ok {
-                    if let Some(open) = self.open.get(&id) {
+                    if let Some(open) = self.open_requests.get(&id) {
                         open.exchange.answer(Answer::Served(reply.body));
                     }
                 }
-                self.land(id, attempt, reply.outcome, load);
+                self.end_attempt(id, attempt, reply.outcome, load_report);
             }
-            Input::AttemptEnded(id, attempt, Err(ending)) => self.land(id, attempt, ending, Vec::new()),
-            Input::ListUpdated(news) if self.outside.discovery.is_current(news.watch) => {
-                self.leaving = None;
-                if !news.kind.is_failure() {
-                    self.outside.discovery.set_version(news.index, news.needs_snapshot);
+            Input::AttemptEnded(id, attempt, Err(outcome)) => {
+                self.end_attempt(id, attempt, outcome, Vec::new())
+            }
+            Input::ListUpdated(message) if self.remotes.discovery.is_current(message.watch) => {
+                self.superseded_watch = None;
+                if !message.kind.is_failure() {
+                    self.remotes.discovery.set_version(message.index, message.needs_snapshot);
                 }
-                self.list(news.kind, news.index, news.rows);
+                self.update_list(message.kind, message.index, message.rows);
             }
-            Input::ListUpdated(news) => self.list_of_before(news),
-            Input::ListConfirmed(watch, _) if !self.outside.discovery.is_current(watch) => {}
+            Input::ListUpdated(message) => self.apply_superseded_list(message),
+            Input::ListConfirmed(watch, _) if !self.remotes.discovery.is_current(watch) => {}
             Input::ListConfirmed(_, version) => {
-                self.leaving = None;
-                self.outside.discovery.set_version(version, false);
-                self.tell(Event::List { kind: ListUpdate::Delta, version, entries: &[] });
+                self.superseded_watch = None;
+                self.remotes.discovery.set_version(version, false);
+                self.handle_event(Event::List { kind: ListUpdate::Delta, version, entries: &[] });
             }
-            Input::RolloutStatus(news) => self.told(news),
-            Input::RestrictionsChanged => self.fleet(),
-            Input::RefreshSources => self.ask_again(),
-            Input::PeerMessage(from, bytes) => self.tell(Event::PeerMessage { from, bytes: &bytes }),
-            Input::AddressesChanged(addresses) => self.moved(addresses),
-            Input::ProbeEnded(machine, ending, took, load) => {
-                let load =
+            Input::RolloutStatus(status) => self.on_rollout_status(status),
+            Input::RestrictionsChanged => self.apply_fleet_changes(),
+            Input::RefreshSources => self.reconnect_sources(),
+            Input::PeerMessage(from, bytes) => self.handle_event(Event::PeerMessage { from, bytes: &bytes }),
+            Input::AddressesChanged(addresses) => self.change_addresses(addresses),
+            Input::ProbeEnded(machine, outcome, duration, load) => {
+                let load_report =
                     parse_load_report(load.as_deref().unwrap_or_default(), &self.settings.names.load_fields);
-                self.tell(Event::ProbeEnded { machine, outcome: ending, duration: took, load_report: &load });
+                self.handle_event(Event::ProbeEnded {
+                    machine,
+                    outcome,
+                    duration,
+                    load_report: &load_report,
+                });
             }
             Input::ErrorRatesChanged(rates) => {
                 self.settings.module.error_rates = rates;
                 self.front.replace_settings(self.settings.module.clone());
-                if let Some(watch) = &mut self.watched {
-                    watch.set_error_rates(rates);
+                if let Some(shadow) = &mut self.shadow {
+                    shadow.set_error_rates(rates);
                 }
             }
         }
-        self.follow_up();
+        self.process_pending_events();
     }
 
-    fn arrived(&mut self, exchange: Rc<Exchange>) {
+    fn on_request(&mut self, exchange: Rc<Exchange>) {
         if exchange.is_finished() {
             return;
         }
@@ -367,239 +383,259 @@
         let arrival = Arrival {
             id,
             class: call.class,
-            remaining: exchange.deadline.saturating_sub(self.hub.clock.now()),
+            remaining: exchange.deadline.saturating_sub(self.event_bus.clock.now()),
             key: call.key,
             tenant: call.tenant,
             work_hint: call.work_hint,
             is_retry: call.is_retry,
             policy: call.policy,
         };
-        // Rule 1, last resort: should the module fail to answer, the client is told of the failure in time.
-        let last = exchange.deadline + self.settings.module.answer_slack;
-        let overdue = self.due(last, Due::Overdue(id));
-        self.open.insert(id, Open { exchange, overdue, attempts: 0, out: 0, ran_from: None });
-        if let Some(member) = &self.hub.member {
+        // Fail-safe for rule 1: if the decision module does not answer, the client still gets an error in time.
+        let overdue_at = exchange.deadline + self.settings.module.answer_slack;
+        let overdue_timer = self.set_timer(overdue_at, TimerKind::AnswerOverdue(id));
+        self.open_requests.insert(
+            id,
+            OpenRequest { exchange, overdue_timer, attempts_sent: 0, in_flight: 0, may_have_run_since: None },
+        );
+        if let Some(member) = &self.event_bus.member {
             member.record_request();
         }
-        self.tell(Event::Request(arrival));
-        self.tidy(id);
+        self.handle_event(Event::Request(arrival));
+        self.remove_if_finished(id);
     }
 
-    fn left(&mut self, id: RequestId) {
-        if !self.open.contains_key(&id) {
+    fn on_client_left(&mut self, id: RequestId) {
+        if !self.open_requests.contains_key(&id) {
             return;
         }
-        self.tell(Event::ClientLeft { id });
-        // An attempt lasts until the client stops waiting: nobody waits for these any more.
-        self.give_up(id);
+        self.handle_event(Event::ClientLeft { id });
+        // Attempts run only as long as their client waits.
+        self.cancel_attempts(id);
     }
 
-    fn give_up(&mut self, id: RequestId) {
-        let out: Vec<u16> = self.flights.range((id, 0)..=(id, u16::MAX)).map(|f| f.0 .1).collect();
-        out.into_iter().for_each(|attempt| self.land(id, attempt, CallOutcome::Cancelled, Vec::new()));
-        self.tidy(id);
+    fn cancel_attempts(&mut self, id: RequestId) {
+        let attempts: Vec<u16> =
+            self.attempts_in_flight.range((id, 0)..=(id, u16::MAX)).map(|f| f.0 .1).collect();
+        attempts
+            .into_iter()
+            .for_each(|attempt| self.end_attempt(id, attempt, CallOutcome::Cancelled, Vec::new()));
+        self.remove_if_finished(id);
     }
 
-    fn overdue(&mut self, id: RequestId) {
-        let Some(open) = self.open.get(&id) else { return };
+    fn on_answer_overdue(&mut self, id: RequestId) {
+        let Some(open) = self.open_requests.get(&id) else { return };
         if open.exchange.answer(Answer::Failed) {
-            log::error!("request {id} had no final answer in time");
-            self.tell(Event::ClientLeft { id });
+            log::error!("request {id} got no final answer by its deadline");
+            self.handle_event(Event::ClientLeft { id });
         }
-        self.give_up(id);
+        self.cancel_attempts(id);
     }
 
-    fn list(&mut self, kind: ListUpdate, index: u64, rows: Vec<Row>) {
+    fn update_list(&mut self, kind: ListUpdate, index: u64, rows: Vec<Row>) {
         if kind != ListUpdate::Cached {
-            self.hub.ready.set(true);
+            self.event_bus.ready.set(true);
         }
-        self.hub.ledger_writer.record_list(kind, &rows);
-        let rows = match &self.hub.member {
+        self.event_bus.ledger_writer.record_list(kind, &rows);
+        let rows = match &self.event_bus.member {
             Some(member) => member.apply_list(kind, index, rows),
             None => rows,
         };
-        self.put_list(kind, index, &rows);
+        self.apply_list(kind, index, &rows);
     }
 
-    /// A watch that another has taken the place of tells what was written to it before. Danger: it counts as told, but the
-    /// list may have gone on since, and discovery may be elsewhere: so it takes machines away and vouches for none.
-    fn list_of_before(&mut self, news: ListMessage) {
-        let is_in_use =
-            |row: &Row| matches!(self.listed.get(&row.entry.machine), Some((MachineState::Ready, _)));
-        let leaves = |row: &Row| row.entry.state != MachineState::Ready && is_in_use(row);
-        let rows: Vec<Row> = news.rows.into_iter().filter(leaves).collect();
-        log::info!(index = news.index, leave = rows.len(); "discovery: last answer of a watch that was left");
+    /// Applies the last response of a superseded watch. This front counts as notified of it, but the list may have changed
+    /// since and discovery may have moved: so the response may remove machines but confirms none.
+    fn apply_superseded_list(&mut self, message: ListMessage) {
+        let is_in_use = |row: &Row| {
+            matches!(self.listed_machines.get(&row.entry.machine), Some((MachineState::Ready, _)))
+        };
+        let is_removed = |row: &Row| row.entry.state != MachineState::Ready && is_in_use(row);
+        let rows: Vec<Row> = message.rows.into_iter().filter(is_removed).collect();
+        log::info!(index = message.index, leave = rows.len(); "discovery: last response of a superseded watch");
         if !rows.is_empty() {
-            self.put_list(ListUpdate::Restricted, 0, &rows);
+            self.apply_list(ListUpdate::Restricted, 0, &rows);
         }
     }
 
-    /// What planners take away has changed, or the lease has: the module is told as if its own sources had.
-    fn fleet(&mut self) {
-        let Some(member) = self.hub.member.clone() else { return };
+    /// Applies a change of the planners' restrictions or of the lease, as if the front's own sources had reported it.
+    fn apply_fleet_changes(&mut self) {
+        let Some(member) = self.event_bus.member.clone() else { return };
         let rows = member.changed_rows();
         if !rows.is_empty() {
-            self.put_list(ListUpdate::Restricted, 0, &rows);
+            self.apply_list(ListUpdate::Restricted, 0, &rows);
         }
-        if let Some(news) = member.changed_status() {
-            self.put_news(news);
+        if let Some(status) = member.changed_status() {
+            self.apply_rollout_status(status);
         }
     }
 
-    /// Begins the watch and the platform's connection anew: one that is silent may be cut without a sign.
-    fn ask_again(&mut self) {
-        if self.watch.is_some() {
-            self.watch(true);
+    /// Reopens the list watch and the platform's connection, since a silent connection may have been cut without notice.
+    fn reconnect_sources(&mut self) {
+        if self.list_watch.is_some() {
+            self.set_watch(true);
         }
-        self.listen();
+        self.listen_to_platform();
     }
 
-    fn put_list(&mut self, kind: ListUpdate, version: u64, rows: &[Row]) {
+    fn apply_list(&mut self, kind: ListUpdate, version: u64, rows: &[Row]) {
         if matches!(kind, ListUpdate::Snapshot | ListUpdate::Cached) {
-            self.listed.clear();
-            self.outside.machines.keep_only(rows);
+            self.listed_machines.clear();
+            self.remotes.machines.keep_only(rows);
         }
         for row in rows {
-            self.listed.insert(row.entry.machine, (row.entry.state, row.entry.build));
-            self.outside.machines.update(row);
+            self.listed_machines.insert(row.entry.machine, (row.entry.state, row.entry.build));
+            self.remotes.machines.update(row);
         }
         log::debug!(kind:?, lines = rows.len(); "list");
         let entries: Vec<MachineEntry> = rows.iter().map(|r| r.entry.clone()).collect();
-        self.tell(Event::List { kind, version, entries: &entries });
-        // An attempt still unwritten when its machine drains, leaves or comes back with another build.
-        let listed = std::mem::take(&mut self.listed);
-        self.recall(|f| listed.get(&f.machine) != Some(&(MachineState::Ready, f.build)));
-        self.listed = listed;
-    }
-
-    fn told(&mut self, news: RolloutStatus) {
-        let news =
-            match self.heard.filter(|held| news.is_vote_reply && platform::is_outdated_reply(&news, held)) {
-                Some(held) => RolloutStatus { is_vote_reply: true, ..held },
-                None => news,
-            };
-        if news.outcome == CallOutcome::Ok {
-            self.heard = Some(news);
+        self.handle_event(Event::List { kind, version, entries: &entries });
+        // Fails attempts that are not written yet when their machine drains, leaves or returns with another build.
+        let listed_machines = std::mem::take(&mut self.listed_machines);
+        self.fail_unwritten(|f| listed_machines.get(&f.machine) != Some(&(MachineState::Ready, f.build)));
+        self.listed_machines = listed_machines;
+    }
+
+    fn on_rollout_status(&mut self, status: RolloutStatus) {
+        let status = match self
+            .platform_status
+            .filter(|newest| status.is_vote_reply && platform::is_outdated_reply(&status, newest))
+        {
+            Some(newest) => RolloutStatus { is_vote_reply: true, ..newest },
+            None => status,
+        };
+        if status.outcome == CallOutcome::Ok {
+            self.platform_status = Some(status);
         }
-        let news = match &self.hub.member {
-            Some(member) if news.outcome == CallOutcome::Ok => member.apply_status(news),
-            _ => news,
+        let status = match &self.event_bus.member {
+            Some(member) if status.outcome == CallOutcome::Ok => member.apply_status(status),
+            _ => status,
         };
-        self.put_news(news);
+        self.apply_rollout_status(status);
     }
 
-    fn put_news(&mut self, news: RolloutStatus) {
-        let before = self.news;
-        let RolloutStatus { build, stage, phase, outcome: ending, cap, is_vote_reply: answer, .. } = news;
-        log::debug!(build, stage, phase:?, ending:?, cap, answer; "news");
-        self.tell(Event::RolloutStatus(news));
-        if news.outcome != CallOutcome::Ok {
+    fn apply_rollout_status(&mut self, status: RolloutStatus) {
+        let before = self.rollout_status;
+        let RolloutStatus { build, stage, phase, outcome, cap, is_vote_reply, .. } = status;
+        log::debug!(build, stage, phase:?, ending:? = outcome, cap, answer = is_vote_reply; "rollout status");
+        self.handle_event(Event::RolloutStatus(status));
+        if status.outcome != CallOutcome::Ok {
             return;
         }
-        self.news = Some(news);
-        self.hub.ledger_writer.record_status(self.hub.clock.now(), &news);
-        // An attempt still unwritten when its build's cap falls.
-        let fell = before.is_none_or(|b| b.build != news.build || news.cap < b.cap || b.phase != news.phase);
-        if fell {
-            self.recall(|f| f.build >= news.build);
+        self.rollout_status = Some(status);
+        self.event_bus.ledger_writer.record_status(self.event_bus.clock.now(), &status);
+        // Fails attempts that are not written yet when the cap of their build falls.
+        let is_lowered =
+            before.is_none_or(|b| b.build != status.build || status.cap < b.cap || b.phase != status.phase);
+        if is_lowered {
+            self.fail_unwritten(|f| f.build >= status.build);
         }
     }
 
-    /// Ends attempts that are not written yet and must not be any more: they have not run.
-    fn recall(&mut self, which: impl Fn(&Flight) -> bool) {
-        let unwritten = |f: &Flight| f.progress.get() < Progress::Written && which(f);
-        let ids: Vec<_> = self.flights.iter().filter(|f| unwritten(f.1)).map(|f| *f.0).collect();
+    /// Ends attempts that are not written yet and no longer may be; they have not run.
+    fn fail_unwritten(&mut self, is_affected: impl Fn(&InFlightAttempt) -> bool) {
+        let unwritten = |f: &InFlightAttempt| f.progress.get() < Progress::Written && is_affected(f);
+        let ids: Vec<_> = self.attempts_in_flight.iter().filter(|f| unwritten(f.1)).map(|f| *f.0).collect();
         for (id, attempt) in ids {
-            self.land(id, attempt, CallOutcome::ConnectFailed, Vec::new());
+            self.end_attempt(id, attempt, CallOutcome::ConnectFailed, Vec::new());
         }
     }
 
-    fn expire(&mut self, id: RequestId, attempt: u16) {
-        let Some(flight) = self.flights.get(&(id, attempt)) else { return };
-        // Given up before its last byte was written, it cannot have run.
+    fn on_attempt_timeout(&mut self, id: RequestId, attempt: u16) {
+        let Some(flight) = self.attempts_in_flight.get(&(id, attempt)) else { return };
+        // An attempt that ends before its last byte was written cannot have run.
         let written = flight.progress.get() == Progress::Written;
-        let ending = if written { CallOutcome::Timeout } else { CallOutcome::ConnectFailed };
-        self.land(id, attempt, ending, Vec::new());
-    }
-
-    /// An attempt has ended: its connection is closed unless it was given back before.
-    fn land(&mut self, id: RequestId, attempt: u16, ending: CallOutcome, load: Vec<f32>) {
-        let Some(flight) = self.flights.remove(&(id, attempt)) else { return };
-        self.timers.remove(&flight.expires);
-        if let Some(open) = self.open.get_mut(&id) {
-            open.out -= 1;
-            if !matches!(ending, CallOutcome::ConnectFailed | CallOutcome::Rejected) {
-                open.ran_from = Some(open.ran_from.map_or(flight.sent, |at| at.min(flight.sent)));
+        let outcome = if written { CallOutcome::Timeout } else { CallOutcome::ConnectFailed };
+        self.end_attempt(id, attempt, outcome, Vec::new());
+    }
+
+    /// Ends an attempt; its connection is closed unless it was already returned to the idle pool.
+    fn end_attempt(&mut self, id: RequestId, attempt: u16, outcome: CallOutcome, load_report: Vec<f32>) {
+        let Some(flight) = self.attempts_in_flight.remove(&(id, attempt)) else { return };
+        self.timers.remove(&flight.timeout_timer);
+        if let Some(open) = self.open_requests.get_mut(&id) {
+            open.in_flight -= 1;
+            if !matches!(outcome, CallOutcome::ConnectFailed | CallOutcome::Rejected) {
+                open.may_have_run_since =
+                    Some(open.may_have_run_since.map_or(flight.sent_at, |at| at.min(flight.sent_at)));
             }
         }
-        let (machine, took) = (flight.machine, self.hub.clock.now() - flight.sent);
-        let class = self.open.get(&id).map(|o| o.exchange.call.class);
-        log::debug!(machine, build = flight.build, class:?, ending:?, took; "attempt ended");
-        self.follow.push_back(Follow::Outcome { id, attempt, machine, ending, took, load });
+        let (machine, duration) = (flight.machine, self.event_bus.clock.now() - flight.sent_at);
+        let class = self.open_requests.get(&id).map(|o| o.exchange.call.class);
+        log::debug!(machine, build = flight.build, class:?, ending:? = outcome, took = duration; "attempt ended");
+        self.pending_events.push_back(PendingEvent::AttemptEnded {
+            id,
+            attempt,
+            machine,
+            outcome,
+            duration,
+            load_report,
+        });
     }
 
-    fn follow_up(&mut self) {
-        while let Some(follow) = self.follow.pop_front() {
+    fn process_pending_events(&mut self) {
+        while let Some(follow) = self.pending_events.pop_front() {
             match follow {
-                Follow::Outcome { id, attempt, machine, ending, took, load } => {
-                    let settled = self.open.get(&id).is_none_or(|o| o.exchange.is_finished());
-                    let load = &load;
-                    self.tell(Event::AttemptEnded(AttemptEnd {
+                PendingEvent::AttemptEnded { id, attempt, machine, outcome, duration, load_report } => {
+                    let request_done = self.open_requests.get(&id).is_none_or(|o| o.exchange.is_finished());
+                    let load_report = &load_report;
+                    self.handle_event(Event::AttemptEnded(AttemptEnd {
                         id,
                         attempt,
                         machine,
-                        outcome: ending,
-                        request_done: settled,
-                        duration: took,
-                        load_report: load,
+                        outcome,
+                        request_done,
+                        duration,
+                        load_report,
                     }));
-                    self.tidy(id);
+                    self.remove_if_finished(id);
                 }
-                Follow::News(news) => self.tell(Event::RolloutStatus(news)),
+                PendingEvent::RolloutStatus(status) => self.handle_event(Event::RolloutStatus(status)),
             }
         }
     }
 
-    /// Forgets a request that is over once its attempts have ended.
-    fn tidy(&mut self, id: RequestId) {
-        if self.open.get(&id).is_some_and(|o| o.out == 0 && o.exchange.is_finished()) {
-            if let Some(open) = self.open.remove(&id) {
-                self.timers.remove(&open.overdue);
+    /// Removes a finished request once all its attempts have ended.
+    fn remove_if_finished(&mut self, id: RequestId) {
+        if self.open_requests.get(&id).is_some_and(|o| o.in_flight == 0 && o.exchange.is_finished()) {
+            if let Some(open) = self.open_requests.remove(&id) {
+                self.timers.remove(&open.overdue_timer);
             }
         }
     }
 
-    /// Hands one event to the module and carries out what it wants.
-    fn tell(&mut self, event: Event) {
-        let (now, mut actions) = (self.hub.clock.now(), Vec::new());
-        let before = self.watched.is_some().then(|| self.front.clone());
+    /// Passes one event to the decision module and carries out the resulting actions.
+    fn handle_event(&mut self, event: Event) {
+        let (now, mut actions) = (self.event_bus.clock.now(), Vec::new());
+        let before = self.shadow.is_some().then(|| self.front.clone());
         let front = &mut self.front;
-        // Danger: a defect met by one event must not end the requests of all others.
+        // A bug triggered by one event must not end the requests of all others.
         if catch_unwind(AssertUnwindSafe(|| front.handle(now, &event, &mut actions))).is_err() {
-            log::error!("decision module panicked on {event:?}");
+            log::error!("decision module panicked on event {event:?}");
         }
-        if let (Some(watch), Some(before)) = (&mut self.watched, before) {
-            watch.compare(before, now, &event, &actions);
+        if let (Some(shadow), Some(before)) = (&mut self.shadow, before) {
+            shadow.compare(before, now, &event, &actions);
         }
-        actions.into_iter().for_each(|action| self.act(now, action));
+        actions.into_iter().for_each(|action| self.perform(now, action));
     }
 
-    fn act(&mut self, now: Micros, action: Action) {
+    fn perform(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { id, machine, timeout } => self.send(now, id, machine, timeout),
-            Action::Refuse { id, retry_after: backoff } => self.answer(id, Answer::Refused(backoff)),
-            Action::Fail { id } => self.answer(id, Answer::Failed),
-            Action::Cancel { id, attempt } => self.land(id, attempt, CallOutcome::Cancelled, Vec::new()),
+            Action::Send { id, machine, timeout } => self.send_attempt(now, id, machine, timeout),
+            Action::Refuse { id, retry_after } => self.answer_request(id, Answer::Refused(retry_after)),
+            Action::Fail { id } => self.answer_request(id, Answer::Failed),
+            Action::Cancel { id, attempt } => {
+                self.end_attempt(id, attempt, CallOutcome::Cancelled, Vec::new())
+            }
             Action::Probe { machine } => self.probe(machine),
-            Action::Subscribe(on) => self.watch(on),
-            Action::FetchList => self.fetch(),
+            Action::Subscribe(on) => self.set_watch(on),
+            Action::FetchList => self.fetch_list(),
             Action::Timer { name, after } => {
-                self.due(now + after, Due::Module(name));
+                self.set_timer(now + after, TimerKind::Module(name));
             }
-            Action::Vote { build, stage, vote } => self.vote(Ballot { build, stage, vote }),
-            Action::CloseIdle { machine } => self.outside.machines.close_idle(machine),
+            Action::Vote { build, stage, vote } => self.cast_vote(Ballot { build, stage, vote }),
+            Action::CloseIdle { machine } => self.remotes.machines.close_idle(machine),
             Action::SendToPeer { peer, bytes } => {
-                if let Some(peers) = &self.outside.peers {
+                if let Some(peers) = &self.remotes.peers {
                     peers.send(peer, &bytes);
                 }
             }
@@ -607,155 +643,164 @@
         }
     }
 
-    fn watch(&mut self, on: bool) {
-        let number = self.outside.discovery.supersede_watches();
-        if let Some(standing) = self.watch.take() {
-            self.leaving = Some(standing);
+    fn set_watch(&mut self, on: bool) {
+        let number = self.remotes.discovery.supersede_watches();
+        if let Some(previous) = self.list_watch.take() {
+            self.superseded_watch = Some(previous);
         }
-        let watch = Rc::clone(&self.outside.discovery).watch(number, self.hub.inputs.clone());
-        self.watch = on.then(|| self.outside.executor.spawn(watch));
+        let watch = Rc::clone(&self.remotes.discovery).watch(number, self.event_bus.inputs.clone());
+        self.list_watch = on.then(|| self.remotes.executor.spawn(watch));
     }
 
-    fn fetch(&mut self) {
-        let fetch = Rc::clone(&self.outside.discovery).fetch(self.hub.inputs.clone());
-        self.fetch = Some(self.outside.executor.spawn(fetch));
+    fn fetch_list(&mut self) {
+        let fetch = Rc::clone(&self.remotes.discovery).fetch(self.event_bus.inputs.clone());
+        self.list_fetch = Some(self.remotes.executor.spawn(fetch));
     }
 
-    fn listen(&mut self) {
-        let inputs = &self.hub.inputs;
-        let listen = self.outside.platform.map(|address| platform::listen(address, inputs.clone()));
-        self._listens = listen.map(|l| self.outside.executor.spawn(l));
+    fn listen_to_platform(&mut self) {
+        let inputs = &self.event_bus.inputs;
+        let listen = self.remotes.platform.map(|address| platform::listen(address, inputs.clone()));
+        self._platform_listener = listen.map(|l| self.remotes.executor.spawn(l));
     }
 
-    /// What the module has asked for goes on at the new addresses. Danger: the old ones answer nothing
-    /// new, and what is told only at the new ones counts as told. A vote on its way ends where it began.
-    fn moved(&mut self, to: Addresses) {
-        if let Some(peers) = &self.outside.peers {
+    /// Moves the open watch, fetch and subscription to the new addresses. The old ones send no more updates, and this front
+    /// counts as notified of what is sent at the new ones. A vote in flight ends at the address where it began.
+    fn change_addresses(&mut self, to: Addresses) {
+        if let Some(peers) = &self.remotes.peers {
             peers.set_addresses(to.peers, to.peers_all);
         }
-        let from = self.outside.discovery.address();
-        if self.outside.discovery.set_address(to.discovery) {
-            log::info!(from:%, to:% = to.discovery, watching = self.watch.is_some(), held = self.outside.discovery.index(); "discovery moved");
-            // What the old one still says confirms nothing; the module has the new one called in its turn.
-            self.watch(false);
-            let source = self.outside.discovery.discovery_id();
-            self.tell(Event::DiscoveryAddress { discovery_id: source, moved: true });
-            if self.fetch.as_ref().is_some_and(|f| !f.is_finished()) {
-                self.fetch();
+        let from = self.remotes.discovery.address();
+        if self.remotes.discovery.set_address(to.discovery) {
+            log::info!(from:%, to:% = to.discovery, watching = self.list_watch.is_some(), held = self.remotes.discovery.index(); "discovery moved");
+            // Responses from the old address confirm nothing; the decision module schedules the call to the new one.
+            self.set_watch(false);
+            let discovery_id = self.remotes.discovery.discovery_id();
+            self.handle_event(Event::DiscoveryAddress { discovery_id, moved: true });
+            if self.list_fetch.as_ref().is_some_and(|f| !f.is_finished()) {
+                self.fetch_list();
             }
         }
-        if std::mem::replace(&mut self.outside.platform, to.platform) != to.platform {
-            self.listen();
+        if std::mem::replace(&mut self.remotes.platform, to.platform) != to.platform {
+            self.listen_to_platform();
         }
     }
 
-    fn answer(&mut self, id: RequestId, answer: Answer) {
-        if let Some(open) = self.open.get(&id) {
-            log::debug!(class = open.exchange.call.class, answer:?; "given up");
+    fn answer_request(&mut self, id: RequestId, answer: Answer) {
+        if let Some(open) = self.open_requests.get(&id) {
+            log::debug!(class = open.exchange.call.class, answer:?; "request shed or failed");
             open.exchange.answer(answer);
-            if let Some(member) = &self.hub.member {
+            if let Some(member) = &self.event_bus.member {
                 member.record_shed_request();
             }
         }
-        self.tidy(id);
+        self.remove_if_finished(id);
     }
 
-    /// The moment from which a further attempt of this request must not be written. Danger: the module allows it
-    /// while the group of machines remembers the key, and a connection that comes up late brings it after that.
+    /// Returns the time from which a further attempt of this request must not be written. The decision module allows one while
+    /// the dedup group remembers the key, but a connection that is established late would deliver it after that.
     fn write_by(&self, id: RequestId) -> Option<Micros> {
-        let open = self.open.get(&id)?;
+        let open = self.open_requests.get(&id)?;
         let class = self.settings.module.classes.get(usize::from(open.exchange.call.class))?;
-        let out = self.flights.range((id, 0)..=(id, u16::MAX)).map(|f| f.1.sent);
-        let first = out.chain(open.ran_from).min()?;
+        let sent_times = self.attempts_in_flight.range((id, 0)..=(id, u16::MAX)).map(|f| f.1.sent_at);
+        let first = sent_times.chain(open.may_have_run_since).min()?;
         (class.idempotency == Idempotency::Keyed).then(|| first.saturating_add(class.dedup_window))
     }
 
-    fn send(&mut self, now: Micros, id: RequestId, machine: MachineId, timeout: Micros) {
+    fn send_attempt(&mut self, now: Micros, id: RequestId, machine: MachineId, timeout: Micros) {
         let write_by = self.write_by(id);
-        let Some(open) = self.open.get_mut(&id) else {
-            log::error!("the module sent for request {id}, which is over");
+        let Some(open) = self.open_requests.get_mut(&id) else {
+            log::error!("decision module sent an attempt of request {id}, which has ended");
             return;
         };
-        let attempt = open.attempts;
-        open.attempts += 1;
+        let attempt = open.attempts_sent;
+        open.attempts_sent += 1;
         let exchange = Rc::clone(&open.exchange);
-        let build = self.listed.get(&machine).map_or(0, |m| m.1);
+        let build = self.listed_machines.get(&machine).map_or(0, |m| m.1);
         let late = exchange.is_finished() || now >= exchange.deadline;
-        // Danger: a process that stood still wakes up with the module's orders of before; the lease is looked at here.
-        let late = late || self.hub.member.as_ref().is_some_and(|m| m.excludes(machine, build));
+        // A process resumes from a pause with actions decided before it, so the lease is checked again here.
+        let late = late || self.event_bus.member.as_ref().is_some_and(|m| m.excludes(machine, build));
         if late || u32::from(attempt) >= self.settings.module.max_attempts {
-            let (ending, load) = (CallOutcome::NotSent, Vec::new());
-            self.follow.push_back(Follow::Outcome { id, attempt, machine, ending, took: 0, load });
+            let (outcome, load_report) = (CallOutcome::NotSent, Vec::new());
+            self.pending_events.push_back(PendingEvent::AttemptEnded {
+                id,
+                attempt,
+                machine,
+                outcome,
+                duration: 0,
+                load_report,
+            });
             return;
         }
         if log::log_enabled!(log::Level::Debug) {
-            let discovery = &self.outside.discovery;
+            let discovery = &self.remotes.discovery;
             let age_ms = discovery.last_answered_at().map(|at| at.elapsed().as_millis() as u64);
             let (version, basis) = (discovery.index(), self.front.lease_basis(now, machine));
             log::debug!(id, attempt, machine, build, version, age_ms:?, basis:?; "attempt sent");
         }
-        open.out += 1;
+        open.in_flight += 1;
         let wait = exchange.deadline - now;
         let wait = if timeout > 0 { wait.min(timeout) } else { wait };
-        let until = AttemptDeadlines { expires: now + wait, write_by: write_by.map(|by| by.min(now + wait)) };
-        let expires = self.due(until.expires, Due::Attempt(id, attempt));
+        let deadlines =
+            AttemptDeadlines { expires: now + wait, write_by: write_by.map(|by| by.min(now + wait)) };
+        let timeout_timer = self.set_timer(deadlines.expires, TimerKind::Attempt(id, attempt));
         let progress = Rc::new(Cell::new(Progress::Connecting));
-        if let Some(member) = &self.hub.member {
+        if let Some(member) = &self.event_bus.member {
             member.record_attempt(machine, build);
         }
-        let (machines, hub) = (Rc::clone(&self.outside.machines), Rc::clone(&self.hub));
-        let told = Rc::clone(&progress);
-        let task = self.outside.executor.spawn(async move {
-            let tried = machines.attempt(machine, &exchange, until, &told, &hub.clock);
-            // A defect met by one attempt ends that attempt only.
-            let tried = AssertUnwindSafe(tried).catch_unwind().await;
-            let result = match tried {
+        let (machines, event_bus) = (Rc::clone(&self.remotes.machines), Rc::clone(&self.event_bus));
+        let progress_reader = Rc::clone(&progress);
+        let task = self.remotes.executor.spawn(async move {
+            let attempted =
+                machines.attempt(machine, &exchange, deadlines, &progress_reader, &event_bus.clock);
+            // A bug triggered by one attempt ends only that attempt.
+            let attempted = AssertUnwindSafe(attempted).catch_unwind().await;
+            let result = match attempted {
                 Ok(Ok(reply)) => Ok(reply),
                 Ok(Err(e)) => {
                     log::debug!("attempt {id}/{attempt}: {e}");
                     Err(e.outcome())
                 }
-                Err(_) if told.get() == Progress::Written => Err(CallOutcome::Reset),
+                Err(_) if progress_reader.get() == Progress::Written => Err(CallOutcome::Reset),
                 Err(_) => Err(CallOutcome::ConnectFailed),
             };
-            let _ = hub.inputs.send(Input::AttemptEnded(id, attempt, result)).await;
+            let _ = event_bus.inputs.send(Input::AttemptEnded(id, attempt, result)).await;
         });
-        let flight = Flight { machine, build, sent: now, expires, progress, _task: task };
-        self.flights.insert((id, attempt), flight);
+        let flight = InFlightAttempt { machine, build, sent_at: now, timeout_timer, progress, _task: task };
+        self.attempts_in_flight.insert((id, attempt), flight);
     }
 
     fn probe(&mut self, machine: MachineId) {
-        let (machines, hub) = (Rc::clone(&self.outside.machines), Rc::clone(&self.hub));
+        let (machines, event_bus) = (Rc::clone(&self.remotes.machines), Rc::clone(&self.event_bus));
         let probe = async move {
-            let begun = hub.clock.now();
-            let (ending, load) = machines.probe(machine, PROBE_LIMIT).await;
-            let took = hub.clock.now() - begun;
-            let _ = hub.inputs.send(Input::ProbeEnded(machine, ending, took, load)).await;
+            let started_at = event_bus.clock.now();
+            let (outcome, load_report) = machines.probe(machine, PROBE_TIMEOUT).await;
+            let duration = event_bus.clock.now() - started_at;
+            let _ = event_bus.inputs.send(Input::ProbeEnded(machine, outcome, duration, load_report)).await;
         };
-        self.outside.executor.spawn(probe).detach();
+        self.remotes.executor.spawn(probe).detach();
     }
 
-    fn vote(&mut self, ballot: Ballot) {
-        let out = self.hub.member.as_ref().is_some_and(|m| m.withholds_votes());
-        let room = self.votes.get() < VOTE_LIMIT && !out;
-        let Some(address) = self.outside.platform.filter(|_| room) else {
+    fn cast_vote(&mut self, ballot: Ballot) {
+        let withheld = self.event_bus.member.as_ref().is_some_and(|m| m.withholds_votes());
+        let may_vote = self.votes_in_flight.get() < MAX_VOTES_IN_FLIGHT && !withheld;
+        let Some(address) = self.remotes.platform.filter(|_| may_vote) else {
             let Ballot { build, stage, .. } = ballot;
-            let (phase, ending) = (yarrowspoke::interface::Phase::Trial, CallOutcome::ConnectFailed);
-            let news =
-                RolloutStatus { build, stage, phase, is_vote_reply: true, outcome: ending, cap: 0.0, age: 0 };
-            self.follow.push_back(Follow::News(news));
+            let (phase, outcome) = (yarrowspoke::interface::Phase::Trial, CallOutcome::ConnectFailed);
+            let status =
+                RolloutStatus { build, stage, phase, is_vote_reply: true, outcome, cap: 0.0, age: 0 };
+            self.pending_events.push_back(PendingEvent::RolloutStatus(status));
             return;
         };
-        let (votes, inputs) = (Rc::clone(&self.votes), self.hub.inputs.clone());
-        let limit = self.settings.module.release.vote_timeout;
-        votes.set(votes.get() + 1);
-        if let Some(member) = &self.hub.member {
+        let (votes_in_flight, inputs) = (Rc::clone(&self.votes_in_flight), self.event_bus.inputs.clone());
+        let timeout = self.settings.module.release.vote_timeout;
+        votes_in_flight.set(votes_in_flight.get() + 1);
+        if let Some(member) = &self.event_bus.member {
             member.record_vote();
         }
         let cast = async move {
-            platform::vote(address, ballot, limit, inputs).await;
-            votes.set(votes.get() - 1);
+            platform::vote(address, ballot, timeout, inputs).await;
+            votes_in_flight.set(votes_in_flight.get() - 1);
         };
-        self.outside.executor.spawn(cast).detach();
+        self.remotes.executor.spawn(cast).detach();
     }
 }
