--- a/crates/yarrowspoke-front/src/main.rs
+++ b/crates/yarrowspoke-front/src/main.rs
@@ -1,4 +1,4 @@
-//! The yarrowspoke front: reads its configuration, serves, and ends when told to; or answers from the command line.
+//! Command-line entry point: runs a front or a planner, or executes one of the operators' commands.
 
 use clap::Parser;
 use std::path::PathBuf;
@@ -7,21 +7,23 @@
 use yarrowspoke_front::{explain, fleet_commands, logging, planner, run, store_commands};
 
 fn main() -> ExitCode {
-    // Only builds made to try the rig's checker have any; a release build knows none.
+    // Only builds that test the rig's checker contain mutants; a release build has none.
     if let Ok(name) = std::env::var("YARROWSPOKE_MUTANT") {
         yarrowspoke_fleet::mutant::enable(&name);
     }
     match Cli::parse().command {
         None => serve(None),
         Some(Command::Serve { operator }) => serve(operator),
-        Some(Command::Check { file, config, fleet }) => tell(cli::check(&file, config.as_deref(), &fleet)),
-        Some(Command::Store { what }) => tell(match what {
+        Some(Command::Check { file, config, fleet }) => {
+            print_output(cli::check(&file, config.as_deref(), &fleet))
+        }
+        Some(Command::Store { what }) => print_output(match what {
             StoreCommand::Inspect { dir } => store_commands::inspect(&dir),
             StoreCommand::Verify { dir } => store_commands::verify(&dir),
             StoreCommand::Compact { dir } => store_commands::compact(&dir),
         }),
-        Some(Command::Planner { name, operator, dir, found }) => plan(&name, &operator, dir, found),
-        Some(Command::Fleet { what }) => tell(match what {
+        Some(Command::Planner { name, operator, dir, found }) => run_planner(&name, &operator, dir, found),
+        Some(Command::Fleet { what }) => print_output(match what {
             FleetCommand::Status { at, json } => fleet_commands::status(at, json),
             FleetCommand::Audit { from, asked, json } => fleet_commands::audit(&from, &asked, json),
             FleetCommand::Out { at, front, cause } => {
@@ -36,26 +38,26 @@
             FleetCommand::Permits { at, json } => fleet_commands::permits(at, json),
             FleetCommand::Verify { dir } => fleet_commands::verify(&dir),
         }),
-        Some(Command::Power { file, fleet }) => tell(cli::power(&file, &fleet)),
+        Some(Command::Power { file, fleet }) => print_output(cli::power(&file, &fleet)),
         Some(Command::Explain { file, request, config, all }) => {
-            tell(explain::explain(&file, &request, config.as_deref(), all))
+            print_output(explain::explain(&file, &request, config.as_deref(), all))
         }
     }
 }
 
-fn tell(told: cli::CommandOutput) -> ExitCode {
-    if told.success {
-        print!("{}", told.text);
+fn print_output(output: cli::CommandOutput) -> ExitCode {
+    if output.success {
+        print!("{}", output.text);
         ExitCode::SUCCESS
     } else {
-        eprint!("{}", told.text);
+        eprint!("{}", output.text);
         ExitCode::FAILURE
     }
 }
 
-fn plan(name: &str, operator: &std::path::Path, dir: Option<PathBuf>, found: bool) -> ExitCode {
-    let started = logging::start().map_err(|e| format!("logging cannot start: {e}"));
-    match started.and_then(|()| planner::run(name, operator, dir, found)) {
+fn run_planner(name: &str, operator: &std::path::Path, dir: Option<PathBuf>, found: bool) -> ExitCode {
+    let log_started = logging::start().map_err(|e| format!("logging cannot start: {e}"));
+    match log_started.and_then(|()| planner::run(name, operator, dir, found)) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("yarrowspoke: {e}");
@@ -65,9 +67,9 @@
 }
 
 fn serve(operator: Option<PathBuf>) -> ExitCode {
-    // Danger: a signal that comes before its handler stands ends the program, so they stand before all else.
-    let told = match run::SignalHandlers::install() {
-        Ok(told) => told,
+    // A signal that arrives before its handler is installed would end the program, so handlers are installed first.
+    let signals = match run::SignalHandlers::install() {
+        Ok(signals) => signals,
         Err(e) => {
             eprintln!("yarrowspoke: signals cannot be handled: {e}");
             return ExitCode::FAILURE;
@@ -81,14 +83,14 @@
         config: PathBuf::from(std::env::var_os("PROXY_CONFIG").unwrap_or_default()),
         operator,
     };
-    let ended = match files.read(None) {
-        Ok(setup) => run::run(setup, files, told).map_err(|e| e.to_string()),
+    let result = match files.read(None) {
+        Ok(setup) => run::run(setup, files, signals).map_err(|e| e.to_string()),
         Err(e) => Err(e.to_string()),
     };
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
-            // Written directly: the queue of the log may not be empty before the program ends.
+            // Written directly to stderr: the log's queue may not be drained before the program ends.
             eprintln!("yarrowspoke: {e}");
             ExitCode::FAILURE
         }
--- a/crates/yarrowspoke-front/src/run.rs
+++ b/crates/yarrowspoke-front/src/run.rs
@@ -1,4 +1,4 @@
-//! Puts the parts together and runs them until the program is told to stop.
+//! Assembles the parts of a front and runs them until the process is stopped by a signal.
 
 use crate::classify::{self, Classifier};
 use crate::config::{self, Config, ConfigError};
@@ -32,37 +32,37 @@
 use yarrowspoke_store::store::Store;
 use yarrowspoke_store::writer;
 
-/// Descriptors kept for standard streams, the reactor, the listener, peers, discovery and the platform.
-const RESERVED: usize = 28;
-/// New connections keep coming for a while after a stop has begun.
-const STILL_COMING: Duration = Duration::from_millis(700);
-/// Clocks of one deployment may be apart by so much.
-const CLOCKS_APART: u64 = 2_000_000;
-/// How often a stop looks whether all clients have gone.
-const STOP_CHECK: Duration = Duration::from_millis(20);
+/// Descriptors reserved for standard streams, the reactor, the listener, peers, discovery and the platform.
+const RESERVED_DESCRIPTORS: usize = 28;
+/// Time for which clients may still open connections after a stop has begun.
+const STOP_GRACE: Duration = Duration::from_millis(700);
+/// Largest difference between the clocks of one deployment, in microseconds.
+const MAX_CLOCK_SKEW: u64 = 2_000_000;
+/// Interval at which a stop checks whether all clients have disconnected.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The files that a front is told to run by, read at its start and again whenever it is told to.
+/// The files that configure a front, read at its start and again on each reload signal.
 #[derive(Clone, Debug)]
 pub struct ConfigFiles {
-    /// The configuration.
+    /// Path of the configuration.
     pub config: PathBuf,
-    /// The operator's file, if there is one.
+    /// Path of the operator's file, if there is one.
     pub operator: Option<PathBuf>,
 }
 
-/// Why a front cannot run by its files.
+/// Why a front's files cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigFilesError {
-    /// The configuration.
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// The operator's file.
+    /// The operator's file is invalid.
     #[error("operator's file:\n{0}")]
     Operator(#[from] OperatorError),
-    /// The operator's file names no such front.
+    /// The operator's file does not list this front as a member.
     #[error("{path}: section fleet: found no front {name:?} among its members, which is this front's name")]
     Member {
-        /// The file.
+        /// Path of the operator's file.
         path: String,
         /// The front's name.
         name: String,
@@ -70,9 +70,9 @@
 }
 
 fn check_member(fleet: &Fleet, name: &str, path: &std::path::Path) -> Result<(), ConfigFilesError> {
-    let front = fleet.member(name).is_some_and(|m| m.role == Role::Front);
+    let is_front = fleet.member(name).is_some_and(|m| m.role == Role::Front);
     let (path, name) = (path.display().to_string(), name.to_owned());
-    if front {
+    if is_front {
         Ok(())
     } else {
         Err(ConfigFilesError::Member { path, name })
@@ -80,8 +80,8 @@
 }
 
 impl ConfigFiles {
-    /// Reads both as one whole: a fault of either leaves nothing half told. Rules are bound to the settings that
-    /// `running` goes by, or to those just read.
+    /// Reads both files as one unit: an error in either means that neither is applied. Rules are bound to the `running`
+    /// settings, or to those just read if there are none.
     pub fn read(&self, running: Option<&Settings>) -> Result<Setup, ConfigFilesError> {
         let mut config = config::load(&self.config)?;
         let (mut rules, mut store, mut fleet) = (None, None, None);
@@ -95,55 +95,55 @@
                 check_member(fleet, &config.name, path)?;
             }
             if let Some(rules) = &mut rules {
-                let world = classify::rule_context(running.unwrap_or(&config.settings));
+                let context = classify::rule_context(running.unwrap_or(&config.settings));
                 let path = path.display().to_string();
-                rules.bind(&world).map_err(|faults| OperatorError::Faults { path, faults })?;
+                rules.bind(&context).map_err(|faults| OperatorError::Faults { path, faults })?;
             }
         }
         Ok(Setup { config, rules, store, fleet })
     }
 }
 
-/// What the files of a front hold.
+/// The decoded contents of a front's files.
 #[derive(Debug)]
 pub struct Setup {
-    /// The configuration, with what the operators state of the settings.
+    /// The configuration, including the settings from the operator's file.
     pub config: Config,
     /// The operators' rules, bound to the settings.
     pub rules: Option<Rules>,
-    /// What outlasts a restart, and where. It holds from the start; a reload changes nothing of it.
+    /// Settings of the store that survives restarts. Fixed at the start; a reload does not change them.
     pub store: Option<StoreSettings>,
-    /// The fleet that it is a front of. Who its members are holds from the start; a reload changes limits only.
+    /// The fleet that the front belongs to. Its members are fixed at the start; a reload changes limits only.
     pub fleet: Option<Fleet>,
 }
 
-/// Opens the store, starts its writer, and reads what the front knew as far as that is trusted.
+/// Opens the store, starts its writer, and loads the stored machine list as far as it can be trusted.
 fn open_store(settings: StoreSettings, config: &Config) -> io::Result<(LedgerWriter, Option<Vec<Row>>)> {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
     let dir = Dir::open(&settings.directory)?;
-    let fresh = u128::from(config.seed) << 64 | u128::from(now);
-    let (store, report) = Store::open(&dir, fresh, settings.bytes, now).map_err(io::Error::other)?;
+    let new_store_id = u128::from(config.seed) << 64 | u128::from(now);
+    let (store, report) = Store::open(&dir, new_store_id, settings.bytes, now).map_err(io::Error::other)?;
     log::info!("store: {report:?}");
     let names = &config.settings.names;
-    let bounds = Bounds { fresh: settings.fresh, stale: settings.stale, ahead: CLOCKS_APART };
+    let bounds = Bounds { fresh: settings.fresh, stale: settings.stale, ahead: MAX_CLOCK_SKEW };
     let rows = match store.known().map_err(io::Error::other)? {
         None => None,
         Some(known) => match trust(&known, now, &ledger_writer::deployment(names), 0, &bounds) {
             Trust::None(why) => {
-                log::warn!("store: the list kept is not used: {why}");
+                log::warn!("store: the stored list is not used: {why}");
                 None
             }
             trusted => {
-                log::info!("store: a list of {} machines is kept: {trusted:?}", known.lines.len());
+                log::info!("store: a list of {} machines is stored: {trusted:?}", known.lines.len());
                 Some(ledger_writer::snapshot_rows(&known, names))
             }
         },
     };
-    let (hand, _) = writer::start(store, dir, Duration::from_micros(settings.delay))?;
-    Ok((LedgerWriter::new(hand, settings, &config.settings), rows))
+    let (handle, _) = writer::start(store, dir, Duration::from_micros(settings.delay))?;
+    Ok((LedgerWriter::new(handle, settings, &config.settings), rows))
 }
 
-/// What a front is told by signals: those that come before it serves wait until it does.
+/// Signal streams; signals that arrive before the front serves are queued until it does.
 #[derive(Debug)]
 pub struct SignalHandlers {
     stop: Signals,
@@ -151,51 +151,52 @@
 }
 
 impl SignalHandlers {
-    /// Handles signals from now on.
+    /// Installs the signal handlers.
     pub fn install() -> io::Result<Self> {
         Ok(Self { stop: Signals::new([Signal::Term, Signal::Int])?, reload: Signals::new([Signal::Hup])? })
     }
 }
 
-/// Runs a front to its end; `files` are read again when it is told to.
-pub fn run(setup: Setup, files: ConfigFiles, told: SignalHandlers) -> io::Result<()> {
+/// Runs a front until it is stopped; `files` are read again on each reload signal.
+pub fn run(setup: Setup, files: ConfigFiles, signals: SignalHandlers) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    async_io::block_on(executor.run(serve(setup, files, told, Rc::clone(&executor))))
+    async_io::block_on(executor.run(serve(setup, files, signals, Rc::clone(&executor))))
 }
 
 async fn serve(
     setup: Setup,
     files: ConfigFiles,
-    told: SignalHandlers,
+    signals: SignalHandlers,
     executor: Rc<LocalExecutor<'static>>,
 ) -> io::Result<()> {
     let Setup { config, rules, store, fleet } = setup;
-    let SignalHandlers { stop: mut signals, reload: reloads } = told;
+    let SignalHandlers { stop: mut stop_signals, reload: reload_signals } = signals;
     let listener = Async::<TcpListener>::bind(config.listen)?;
-    let places = DescriptorBudget::new(config.limits.sockets.saturating_sub(RESERVED));
+    let descriptors = DescriptorBudget::new(config.limits.sockets.saturating_sub(RESERVED_DESCRIPTORS));
     let classifier = Classifier::new(config.seed);
     classifier.load(rules);
-    let (keeper, kept) = match store {
+    let (ledger, stored_rows) = match store {
         Some(settings) => open_store(settings, &config)?,
         None => (LedgerWriter::default(), None),
     };
-    let bodies = config.limits.body_memory();
+    let body_memory = config.limits.body_memory();
     let discovery = {
-        let (names, within) = (config.settings.names.clone(), config.settings.module.list_refresh_interval);
-        Discovery::new(config.discovery, names, config.initial_list.index, within)
+        let (names, refresh_interval) =
+            (config.settings.names.clone(), config.settings.module.list_refresh_interval);
+        Discovery::new(config.discovery, names, config.initial_list.index, refresh_interval)
     };
     let member = fleet.map(|fleet| {
         let bounds = &config.settings.module;
-        let back = if bounds.sends_retry_after { bounds.max_retry_after } else { 0 };
+        let retry_after = if bounds.sends_retry_after { bounds.max_retry_after } else { 0 };
         let digests = fleet_member::digests(&files.config, files.operator.as_deref());
-        Member::new(fleet, &config.name, digests, Rc::clone(&discovery), back)
+        Member::new(fleet, &config.name, digests, Rc::clone(&discovery), retry_after)
     });
-    let (hub, inputs) = EventBus::new(
+    let (event_bus, inputs) = EventBus::new(
         &config.settings,
-        Rc::clone(&places),
-        bodies,
+        Rc::clone(&descriptors),
+        body_memory,
         Rc::clone(&classifier),
-        keeper,
+        ledger,
         member.clone(),
     );
     let module = &config.settings.module;
@@ -203,45 +204,46 @@
         Some(listen) => Some(Peers::bind(listen, config.peers, config.peers_all)?),
         None => None,
     };
-    let outside = RemoteServices {
+    let remotes = RemoteServices {
         executor: Rc::clone(&executor),
-        machines: Machines::new(Rc::clone(&places), config.settings.transport),
+        machines: Machines::new(Rc::clone(&descriptors), config.settings.transport),
         discovery,
         platform: config.platform,
         peers: peers.clone(),
     };
-    let about = format!("settings: {:?} {:?}", config.settings.module, config.settings.transport);
+    let settings_summary = format!("settings: {:?} {:?}", config.settings.module, config.settings.transport);
     let running = config.settings.clone();
-    let news = config.rollout_status.map(|s| s.to_status(false));
-    // The configuration's list is the platform's word; without one, what this front knew itself is better than nothing.
-    let rows = match kept {
+    let rollout_status = config.rollout_status.map(|s| s.to_status(false));
+    // The configured list comes from the platform and takes precedence; without one, the list that this front stored is used.
+    let rows = match stored_rows {
         Some(rows) if config.initial_list.rows.is_empty() => (0, rows),
         _ => (config.initial_list.index, config.initial_list.rows),
     };
-    let mut driver = Driver::start(config.seed, config.settings, rows, news, Rc::clone(&hub), outside);
-    if let Some(watch) = config.shadow_settings {
-        driver.enable_shadow_settings(watch.module);
+    let mut driver =
+        Driver::start(config.seed, config.settings, rows, rollout_status, Rc::clone(&event_bus), remotes);
+    if let Some(shadow) = config.shadow_settings {
+        driver.enable_shadow_settings(shadow.module);
     }
     if let Some(peers) = peers {
-        executor.spawn(peers.listen(hub.inputs.clone())).detach();
+        executor.spawn(peers.listen(event_bus.inputs.clone())).detach();
     }
     if let Some(member) = &member {
-        fleet_member::start(member, &executor, &hub.inputs);
+        fleet_member::start(member, &executor, &event_bus.inputs);
     }
-    executor.spawn(reload(reloads, files, running, Rc::clone(&hub))).detach();
-    executor.spawn(clients::close_idle_when_low(Rc::clone(&hub))).detach();
-    let door = Rc::new(ClientListener::new(listener, Rc::clone(&hub), Rc::clone(&executor)));
-    executor.spawn(Rc::clone(&door).serve()).detach();
-    log::info!("{about}");
+    executor.spawn(reload(reload_signals, files, running, Rc::clone(&event_bus))).detach();
+    executor.spawn(clients::close_idle_when_low(Rc::clone(&event_bus))).detach();
+    let client_listener = Rc::new(ClientListener::new(listener, Rc::clone(&event_bus), Rc::clone(&executor)));
+    executor.spawn(Rc::clone(&client_listener).serve()).detach();
+    log::info!("{settings_summary}");
     log::info!("{} serves on {}", config.name, config.listen);
     let stop = async {
-        signals.next().await;
-        log::info!("stopping: {} client connections", places.in_use().0);
-        hub.begin_stop();
-        Timer::after(STILL_COMING).await;
-        // Danger: who waits to be accepted may have sent a request already, and is reset when the program ends.
-        while door.accept_waiting() || places.in_use().0 > 0 {
-            Timer::after(STOP_CHECK).await;
+        stop_signals.next().await;
+        log::info!("stopping: {} client connections", descriptors.in_use().0);
+        event_bus.begin_stop();
+        Timer::after(STOP_GRACE).await;
+        // Connections that wait to be accepted may already carry a request and are reset when the process exits.
+        while client_listener.accept_waiting() || descriptors.in_use().0 > 0 {
+            Timer::after(STOP_CHECK_INTERVAL).await;
         }
         log::info!("stopped");
     };
@@ -249,21 +251,21 @@
     Ok(())
 }
 
-/// Reads the configuration again whenever told to. Danger: a signal that nobody handles ends the program, and a
-/// file caught half written must not take addresses away that still serve. So it is read as one whole or not
-/// at all; requests, the module's state and kept connections stay.
-async fn reload(mut told: Signals, files: ConfigFiles, running: Settings, hub: Rc<EventBus>) {
-    while told.next().await.is_some() {
+/// Reloads the files on each reload signal. An unhandled signal would end the process, and a half-written file must not
+/// remove addresses that still serve, so the files are applied as a whole or not at all; requests, the decision module's
+/// state and idle connections are kept.
+async fn reload(mut reload_signals: Signals, files: ConfigFiles, running: Settings, event_bus: Rc<EventBus>) {
+    while reload_signals.next().await.is_some() {
         match files.read(Some(&running)) {
             Ok(Setup { config, rules, fleet, .. }) => {
-                if let Some(member) = &hub.member {
+                if let Some(member) = &event_bus.member {
                     member.reload(fleet_member::digests(&files.config, files.operator.as_deref()), fleet);
                 }
-                hub.classifier.load(rules);
+                event_bus.classifier.load(rules);
                 let (addresses, rates) = (config.addresses(), config.settings.module.error_rates);
                 log::info!("files read again: {addresses:?} {rates:?}");
-                let _ = hub.inputs.send(Input::ErrorRatesChanged(rates)).await;
-                let _ = hub.inputs.send(Input::AddressesChanged(addresses)).await;
+                let _ = event_bus.inputs.send(Input::ErrorRatesChanged(rates)).await;
+                let _ = event_bus.inputs.send(Input::AddressesChanged(addresses)).await;
             }
             Err(e) => log::error!("the old configuration stays: {e}"),
         }
