--- a/crates/yarrowspoke-front/src/net/clients.rs
+++ b/crates/yarrowspoke-front/src/net/clients.rs
@@ -252,7 +252,7 @@
             Next::End => return,
         };
         served += 1;
-        let keeps = head.keep;
+        let keeps = head.keep_alive;
         let asked = match head.into_request(body, &hub.names, &hub.classes, &hub.classifier, hub.clock.now())
         {
             // Danger: one who sends on before the answer did not mean what was read, and what hides behind a
@@ -361,7 +361,7 @@
                 return Next::Bad(503);
             }
         }
-        if line.decoder.take_continue_request(|h| h.continues)
+        if line.decoder.take_continue_request(|h| h.expects_continue)
             && !line.write(b"HTTP/1.1 100 Continue\r\n\r\n").await
         {
             return Next::End;
--- a/crates/yarrowspoke-front/src/net/request_head.rs
+++ b/crates/yarrowspoke-front/src/net/request_head.rs
@@ -1,4 +1,4 @@
-//! What clients ask, from a request's head and body to a call.
+//! Decoding of client requests, from a request's head and body to a call.
 
 use super::http::{Framing, FromHead, HttpError, RawHead};
 use crate::classify::{Classifier, LoadedRules};
@@ -8,16 +8,16 @@
 use yarrowspoke::interface::{Micros, RequestPolicy};
 use yarrowspoke_settings::Names;
 
-/// Longest budget believed.
-const LONGEST_BUDGET: f64 = 3_600.0;
+/// Upper limit of a stated time budget, in seconds; a longer one is cut to it.
+const MAX_BUDGET_S: f64 = 3_600.0;
 
-/// What a client sent, decoded.
+/// A decoded client request.
 pub enum ClientRequest {
-    /// Whether the front is ready.
+    /// A check of whether the front is ready.
     ReadinessCheck,
-    /// A call; its body is still to come.
+    /// A call to be forwarded.
     Call(Box<Call>),
-    /// Something that has no answer here, with its status.
+    /// A request that cannot be served, with the status of its answer.
     Invalid(u16),
 }
 
@@ -25,18 +25,18 @@
 pub struct RequestHead {
     method: String,
     target: String,
-    /// The sender keeps the connection.
-    pub keep: bool,
-    /// It waits for leave to send its body.
-    pub continues: bool,
+    /// Whether the client keeps the connection open after this request.
+    pub keep_alive: bool,
+    /// Whether the client waits for `100 Continue` before it sends the body.
+    pub expects_continue: bool,
     call_id: Option<String>,
     idempotency_key: Option<String>,
     class: Option<String>,
     tenant: Option<String>,
     budget: Option<Micros>,
-    hint: Option<Micros>,
-    repeat: bool,
-    /// The rules under which it came, and the headers that they read.
+    work_hint: Option<Micros>,
+    is_retry: bool,
+    /// The rules that were in force when the head was read, with the values of the headers that they use.
     rules: Option<(Rc<LoadedRules>, Vec<Option<String>>)>,
 }
 
@@ -50,20 +50,20 @@
 
     fn from_head(head: &RawHead, classifier: &Rc<Classifier>) -> Result<Self, HttpError> {
         let [method, target, version] = head.start_line;
-        let known = matches!(version, "HTTP/1.1" | "HTTP/1.0");
-        let plain = |b: u8| b.is_ascii_graphic();
-        if !known || method.is_empty() || !method.bytes().all(|b| b.is_ascii_uppercase()) {
+        let is_known_version = matches!(version, "HTTP/1.1" | "HTTP/1.0");
+        let is_graphic = |b: u8| b.is_ascii_graphic();
+        if !is_known_version || method.is_empty() || !method.bytes().all(|b| b.is_ascii_uppercase()) {
             return Err(HttpError::StartLine);
         }
-        if !target.starts_with('/') || !target.bytes().all(plain) {
+        if !target.starts_with('/') || !target.bytes().all(is_graphic) {
             return Err(HttpError::StartLine);
         }
         let call_id = head.unique_field("x-call-id")?;
-        if call_id.is_some_and(|id| id.is_empty() || id.len() > 128 || !id.bytes().all(plain)) {
+        if call_id.is_some_and(|id| id.is_empty() || id.len() > 128 || !id.bytes().all(is_graphic)) {
             return Err(HttpError::InvalidValue("X-Call-Id"));
         }
-        let budget = head.unique_field("x-budget")?.map(budget).transpose()?;
-        let owned = |name| head.field(name).map(str::to_owned);
+        let budget = head.unique_field("x-budget")?.map(parse_budget).transpose()?;
+        let owned_field = |name| head.field(name).map(str::to_owned);
         let rules = match classifier.loaded() {
             Some(rules) => {
                 let read = |name: &String| head.unique_field_at_runtime(name).map(|v| v.map(str::to_owned));
@@ -75,34 +75,34 @@
         Ok(Self {
             method: method.to_owned(),
             target: target.to_owned(),
-            keep: head.keeps_alive(version),
-            continues: head.field("expect").is_some_and(|e| e.eq_ignore_ascii_case("100-continue")),
+            keep_alive: head.keeps_alive(version),
+            expects_continue: head.field("expect").is_some_and(|e| e.eq_ignore_ascii_case("100-continue")),
             call_id: call_id.map(str::to_owned),
             idempotency_key: head.unique_field("idempotency-key")?.map(str::to_owned),
             class: head.unique_field("x-call-class")?.map(str::to_owned),
-            tenant: owned("x-caller"),
+            tenant: owned_field("x-caller"),
             budget,
-            hint: head.field("x-call-cost").and_then(|v| v.parse().ok()),
-            repeat: head.field("x-again") == Some("1"),
+            work_hint: head.field("x-call-cost").and_then(|v| v.parse().ok()),
+            is_retry: head.field("x-again") == Some("1"),
             rules,
         })
     }
 }
 
-fn budget(text: &str) -> Result<Micros, HttpError> {
+fn parse_budget(text: &str) -> Result<Micros, HttpError> {
     let seconds = text.parse::<f64>().ok().filter(|s| s.is_finite() && *s >= 0.0);
     let seconds = seconds.ok_or(HttpError::InvalidValue("X-Budget"))?;
-    Ok((seconds.min(LONGEST_BUDGET) * 1e6) as Micros)
+    Ok((seconds.min(MAX_BUDGET_S) * 1e6) as Micros)
 }
 
 impl RequestHead {
-    /// The rules under which it came, with the headers that they read: whoever takes them rules it himself.
+    /// Takes the rules and the header values that they use; the caller is then responsible for applying the rules.
     pub fn take_rules(&mut self) -> Option<(Rc<LoadedRules>, Vec<Option<String>>)> {
         self.rules.take()
     }
 
-    /// Danger: what a machine can't use costs it work, and may run as something else than was meant. So a call
-    /// whose parts contradict each other goes to none.
+    /// Combines the head and the body into a request. A call whose parts contradict each other is not forwarded: it would cost
+    /// a machine work, and might run as something else than the client meant.
     pub fn into_request(
         mut self,
         body: Vec<u8>,
@@ -120,15 +120,15 @@
                 ClientRequest::Invalid(405)
             };
         }
-        let first = path[1..].split('/').next().unwrap_or("");
-        let Some(class) = names.classes.iter().position(|c| c == first) else {
+        let class_name = path[1..].split('/').next().unwrap_or("");
+        let Some(class) = names.classes.iter().position(|c| c == class_name) else {
             return ClientRequest::Invalid(404);
         };
-        let facts = &classes[class];
-        if self.class.is_some_and(|c| c != first) {
+        let protocol = &classes[class];
+        if self.class.is_some_and(|c| c != class_name) {
             return ClientRequest::Invalid(400);
         }
-        if facts.method.is_some_and(|m| m != self.method) {
+        if protocol.method.is_some_and(|m| m != self.method) {
             return ClientRequest::Invalid(405);
         }
         if self.method == "GET" && !body.is_empty() {
@@ -136,14 +136,14 @@
         }
         let Some(call_id) = self.call_id else { return ClientRequest::Invalid(400) };
         let tenant = self.tenant.and_then(|t| names.tenants.iter().position(|n| *n == t));
-        let key = query.split('&').find_map(|p| p.strip_prefix("key=")).map_or(0, key);
+        let key = query.split('&').find_map(|p| p.strip_prefix("key=")).map_or(0, hash_key);
         let mut call = Call {
             class: class as u8,
             tenant: tenant.map_or(u32::MAX, |t| t as u32),
-            budget: self.budget.unwrap_or(facts.deadline),
+            budget: self.budget.unwrap_or(protocol.deadline),
             key,
-            work_hint: self.hint,
-            is_retry: self.repeat,
+            work_hint: self.work_hint,
+            is_retry: self.is_retry,
             policy: RequestPolicy::default(),
             call_id,
             idempotency_key: self.idempotency_key,
@@ -160,14 +160,14 @@
     }
 }
 
-/// A subject as the module counts it: a number as it stands, any other word by its hash; 0 = none.
-fn key(text: &str) -> u64 {
-    let hashed = || {
+/// Returns the key as the decision module uses it: a number as is, any other text as its FNV-1a hash, 0 for none.
+fn hash_key(text: &str) -> u64 {
+    let fnv1a = || {
         text.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3))
     };
     if text.is_empty() {
         0
     } else {
-        text.parse().unwrap_or_else(|_| hashed().max(1))
+        text.parse().unwrap_or_else(|_| fnv1a().max(1))
     }
 }
