--- a/crates/yarrowspoke-front/src/net/clients.rs
+++ b/crates/yarrowspoke-front/src/net/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: accepting, reading requests, writing final answers.
+//! Client connections: accepting them, reading requests and writing final answers.
 
 use super::http::{Decoder, Encoder, BODY_LIMIT};
 use super::request_head::{ClientRequest, RequestHead};
@@ -19,96 +19,98 @@
 use std::time::{Duration, Instant};
 use yarrowspoke::interface::Micros;
 
-/// Longest time from a request's first byte, or from the connection's beginning, to its last byte. The operators
-/// owe whoever sends something else a close or an error within 3 s.
-const REQUEST_WITHIN: Duration = Duration::from_millis(2_000);
-/// How long a connection may stand between two requests. Danger: some ask once and keep their connection for good.
-const IDLE_WITHIN: Duration = Duration::from_secs(2);
-/// Longest time that an answer may take to be written out.
-const ANSWER_WITHIN: Duration = Duration::from_secs(3);
-/// How long a connection that ends is still read, so that the last answer is not lost to a reset: while it still
-/// brings something, and in all.
-const LINGER: Duration = Duration::from_millis(500);
-const LINGER_MOST: Duration = Duration::from_secs(5);
-/// Bytes of such a connection that are read at full speed, those read at once from then on, and the pause between.
-const LINGER_FREE: usize = 128 * 1024;
-const LINGER_CHUNK: usize = 64 * 1024;
-const LINGER_PACE: Duration = Duration::from_millis(2);
-/// Body bytes that need no room in the store for bodies.
-const SMALL_BODY: usize = 4 * 1024;
-/// Pause after accepting has failed.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(50);
-/// How long a new connection may take to bring its request during a stop...
-const FIRST_WITHIN: Duration = Duration::from_millis(700);
-/// ...and while its place is wanted.
-const SILENT_LEAST: Duration = Duration::from_millis(300);
-/// Least time that a connection stands idle before it ends to make room.
-const IDLE_LEAST: Duration = Duration::from_millis(100);
-/// Time between two connections of a sort that are asked to yield, and between two looks whether any should.
-const YIELD_PACE: Duration = Duration::from_millis(1);
-const YIELD_LOOK: Duration = Duration::from_millis(20);
-/// Longest time for which a pause in accepting goes without a look.
-const PAUSE_LOOK: Duration = Duration::from_millis(5);
-/// Pause before the next request of one who has repeated an id. Danger: some send the same again as soon as it is
-/// turned away, and would fill the processor.
-const AGAIN_PACE: Duration = Duration::from_millis(10);
+/// Longest time from a request's first byte, or from the opening of the connection, to its last byte. The operators
+/// guarantee a close or an error within 3 s to clients that send anything else.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Longest idle time between two requests. Some clients send one request and then keep their connection for good.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest time for writing an answer.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long a closing connection is still read, so that a reset does not discard the last answer: longest time
+/// without data, and in total.
+const LINGER_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
+const LINGER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Bytes of a closing connection that are read at full speed, bytes per read from then on, and the pause between two
+/// reads.
+const LINGER_UNPACED_BYTES: usize = 128 * 1024;
+const LINGER_CHUNK_BYTES: usize = 64 * 1024;
+const LINGER_PAUSE: Duration = Duration::from_millis(2);
+/// Largest body for which no body memory is reserved.
+const UNRESERVED_BODY_BYTES: usize = 4 * 1024;
+/// Pause after an accept has failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Longest time that a new connection may take to send its first request during a stop.
+const STOP_FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
+/// Shortest time without data after which a new connection may be closed while descriptors run low.
+const MIN_SILENT_TIME: Duration = Duration::from_millis(300);
+/// Shortest idle time after which a connection may be closed to free its descriptor.
+const MIN_IDLE_TIME: Duration = Duration::from_millis(100);
+/// Interval between two requests to close an idle connection, and between two checks whether descriptors run low.
+const IDLE_CLOSE_INTERVAL: Duration = Duration::from_millis(1);
+const IDLE_CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Longest pause in accepting without a check.
+const ACCEPT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
+/// Pause before the next request of a client that has repeated an id. Some clients resend as soon as they are
+/// rejected, and would saturate the processor.
+const DUPLICATE_ID_DELAY: Duration = Duration::from_millis(10);
 
-/// Where clients come in.
+/// Accepts client connections.
 pub struct ClientListener {
     listener: Async<TcpListener>,
-    hub: Rc<EventBus>,
+    event_bus: Rc<EventBus>,
     executor: Rc<LocalExecutor<'static>>,
-    /// Since when connections may have waited to be accepted; `None` once all that waited were.
-    paused: Cell<Option<Micros>>,
+    /// Time since when connections may have been waiting to be accepted; `None` once all waiting ones were.
+    paused_since: Cell<Option<Micros>>,
 }
 
 impl ClientListener {
-    /// Clients come in by `listener`.
+    /// Returns an acceptor for the clients of `listener`.
     pub fn new(
         listener: Async<TcpListener>,
-        hub: Rc<EventBus>,
+        event_bus: Rc<EventBus>,
         executor: Rc<LocalExecutor<'static>>,
     ) -> Self {
-        Self { listener, hub, executor, paused: Cell::default() }
+        Self { listener, event_bus, executor, paused_since: Cell::default() }
     }
 
-    /// Accepts clients until the program ends.
+    /// Accepts clients until the process ends.
     pub async fn serve(self: Rc<Self>) {
         loop {
-            // At the limit accepting pauses until a place is given back; it does not spin.
-            if !self.hub.descriptors.can_accept_client() {
+            // At the limit, accepting pauses until a descriptor is released, without spinning.
+            if !self.event_bus.descriptors.can_accept_client() {
                 self.pause();
-                with_timeout(PAUSE_LOOK, self.hub.descriptors.wait_for_release()).await;
+                with_timeout(ACCEPT_CHECK_INTERVAL, self.event_bus.descriptors.wait_for_release()).await;
                 continue;
             }
-            let next = match future::poll_once(self.listener.accept()).await {
-                Some(next) => next,
+            let accepted = match future::poll_once(self.listener.accept()).await {
+                Some(accepted) => accepted,
                 None => {
-                    self.paused.set(None);
+                    self.paused_since.set(None);
                     self.listener.accept().await
                 }
             };
-            match next {
-                Ok((stream, _)) => self.take(stream),
+            match accepted {
+                Ok((stream, _)) => self.spawn_connection(stream),
                 Err(e) => {
                     log::warn!("accept: {e}");
-                    Timer::after(ACCEPT_AGAIN).await;
+                    Timer::after(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Accepts all who wait, as far as there is room; true if anybody did, or may still.
+    /// Accepts all waiting connections as far as the limit allows; returns whether any was accepted or may still be
+    /// waiting.
     pub fn accept_waiting(&self) -> bool {
-        let mut any = false;
-        while self.hub.descriptors.can_accept_client() {
+        let mut accepted_any = false;
+        while self.event_bus.descriptors.can_accept_client() {
             match self.listener.get_ref().accept().and_then(|(stream, _)| Async::new(stream)) {
                 Ok(stream) => {
-                    self.take(stream);
-                    any = true;
+                    self.spawn_connection(stream);
+                    accepted_any = true;
                 }
-                Err(e) if e.kind() == ErrorKind::WouldBlock => return any,
-                // One that ended while it waited; there may be others behind it.
+                Err(e) if e.kind() == ErrorKind::WouldBlock => return accepted_any,
+                // This connection ended while it waited; others may be queued behind it.
                 Err(_) => return true,
             }
         }
@@ -117,41 +119,42 @@
     }
 
     fn pause(&self) {
-        self.paused.set(self.paused.get().or_else(|| Some(self.hub.clock.now())));
+        self.paused_since.set(self.paused_since.get().or_else(|| Some(self.event_bus.clock.now())));
     }
 
-    fn take(&self, stream: Async<TcpStream>) {
-        let place = self.hub.descriptors.take_for_client();
-        let waited = self.paused.get().map_or(0, |since| self.hub.clock.now() - since);
-        let served = AssertUnwindSafe(converse(stream, Rc::clone(&self.hub), waited));
+    fn spawn_connection(&self, stream: Async<TcpStream>) {
+        let descriptor = self.event_bus.descriptors.take_for_client();
+        let waited = self.paused_since.get().map_or(0, |since| self.event_bus.clock.now() - since);
+        let served = AssertUnwindSafe(serve_connection(stream, Rc::clone(&self.event_bus), waited));
         let served = async move {
-            // A defect met by one connection ends that connection only.
+            // A bug triggered by one connection ends only that connection.
             if served.catch_unwind().await.is_err() {
                 log::error!("client connection ended by a panic");
             }
-            drop(place);
+            drop(descriptor);
         };
         self.executor.spawn(served).detach();
     }
 }
 
-/// Makes room while clients hold too many connections. Danger: clients keep the connections of a busy moment, and
-/// may hold only so many: once idle ones are all of these, nobody connects any more, so waiting for the next to
-/// connect would be waiting for ever. And a client whose connection yielded connects anew, which asks for the next
-/// to yield: paced, this stays a small part of the connections and cannot feed itself.
-pub async fn close_idle_when_low(hub: Rc<EventBus>) {
+/// Closes idle connections while clients hold too many. Clients keep the connections of a busy period and may hold
+/// only a limited number: once idle connections use up the limit, nobody can connect any more, so freeing one only
+/// when the next client connects would wait forever. A client whose connection was closed reconnects, which causes
+/// the next close: with a pause between closes, this affects only a small part of the connections and cannot sustain
+/// itself.
+pub async fn close_idle_when_low(event_bus: Rc<EventBus>) {
     loop {
-        if hub.descriptors.is_running_low() {
-            hub.descriptors.request_idle_close();
-            Timer::after(YIELD_PACE).await;
+        if event_bus.descriptors.is_running_low() {
+            event_bus.descriptors.request_idle_close();
+            Timer::after(IDLE_CLOSE_INTERVAL).await;
         } else {
-            hub.descriptors.clear_close_requests();
-            Timer::after(YIELD_LOOK).await;
+            event_bus.descriptors.clear_close_requests();
+            Timer::after(IDLE_CLOSE_CHECK_INTERVAL).await;
         }
     }
 }
 
-/// The bytes of a final answer.
+/// Encodes a final answer.
 pub fn encode(answer: &Answer, keep: bool) -> Vec<u8> {
     let (status, body): (_, &[u8]) = match answer {
         Answer::Served(body) => ("200 OK", body),
@@ -164,10 +167,10 @@
             head = head.field("Retry-After", format_args!("{:.3}", *after as f64 / 1e6));
         }
     }
-    finish(head, body, keep)
+    encode_with_body(head, body, keep)
 }
 
-fn plain(status: u16, keep: bool) -> Vec<u8> {
+fn encode_status(status: u16, keep: bool) -> Vec<u8> {
     let text = match status {
         200 => "OK",
         404 => "Not Found",
@@ -178,150 +181,168 @@
         414 => "URI Too Long",
         431 => "Request Header Fields Too Large",
         500 => "Internal Server Error",
-        // What has not been read needs no promise, and this one gives none: it is no call.
+        // A readiness check or a request that was not read is not a call, so no retry time is promised.
         503 => "Service Unavailable",
         _ => "Bad Request",
     };
-    finish(Encoder::new(format_args!("HTTP/1.1 {status} {text}")), text.as_bytes(), keep)
+    encode_with_body(Encoder::new(format_args!("HTTP/1.1 {status} {text}")), text.as_bytes(), keep)
 }
 
-fn finish(head: Encoder, body: &[u8], keep: bool) -> Vec<u8> {
+fn encode_with_body(head: Encoder, body: &[u8], keep: bool) -> Vec<u8> {
     let head = head.field("Content-Length", format_args!("{}", body.len()));
     let head = if keep { head } else { head.field("Connection", format_args!("close")) };
     head.body(body)
 }
 
-struct Line {
+struct Connection {
     stream: Async<TcpStream>,
     decoder: Decoder<RequestHead>,
-    /// Room taken in the store for bodies.
-    room: Option<BodyReservation>,
+    /// Memory reserved for the body that is being read.
+    body_reservation: Option<BodyReservation>,
 }
 
-impl Line {
+impl Connection {
     async fn read(&mut self) -> std::io::Result<usize> {
         let decoder = &mut self.decoder;
         read_some(&mut self.stream, |bytes| decoder.feed(bytes)).await
     }
 
     async fn write(&mut self, bytes: &[u8]) -> bool {
-        matches!(with_timeout(ANSWER_WITHIN, self.stream.write_all(bytes)).await, Some(Ok(())))
+        matches!(with_timeout(WRITE_TIMEOUT, self.stream.write_all(bytes)).await, Some(Ok(())))
     }
 
-    /// Ends the connection so that an answer given in the midst of a request still arrives. Danger: what is left
-    /// unread resets the connection, and an error on its way to a client that still sends is lost with it; but
-    /// one that sends without end must not take the processor, nor a place for long.
-    async fn end_midway(mut self) {
+    /// Closes the connection so that an answer sent in the middle of a request still arrives. Closing with unread
+    /// data resets the connection, and an error in transit to a client that is still sending would be lost; but a
+    /// client that sends without end must not use up the processor or hold a descriptor for long.
+    async fn close_lingering(mut self) {
         if self.stream.get_ref().shutdown(Shutdown::Write).is_err() {
             return;
         }
         let drained = async {
-            let mut taken = 0;
-            while taken < LINGER_FREE {
-                match with_timeout(LINGER, read_some(&mut self.stream, |_| ())).await {
-                    Some(Ok(n)) if n > 0 => taken += n,
+            let mut bytes_read = 0;
+            while bytes_read < LINGER_UNPACED_BYTES {
+                match with_timeout(LINGER_IDLE_TIMEOUT, read_some(&mut self.stream, |_| ())).await {
+                    Some(Ok(n)) if n > 0 => bytes_read += n,
                     _ => return,
                 }
             }
-            let mut chunk = vec![0; LINGER_CHUNK];
-            while matches!(with_timeout(LINGER, self.stream.read(&mut chunk)).await, Some(Ok(n)) if n > 0) {
-                Timer::after(LINGER_PACE).await;
+            let mut chunk = vec![0; LINGER_CHUNK_BYTES];
+            while matches!(with_timeout(LINGER_IDLE_TIMEOUT, self.stream.read(&mut chunk)).await, Some(Ok(n)) if n > 0)
+            {
+                Timer::after(LINGER_PAUSE).await;
             }
         };
-        with_timeout(LINGER_MOST, drained).await;
+        with_timeout(LINGER_TIMEOUT, drained).await;
     }
 }
 
-enum Next {
+enum NextRequest {
     Message(Box<RequestHead>, Vec<u8>),
-    Bad(u16),
-    End,
+    Malformed(u16),
+    Closed,
 }
 
-/// Serves one connection. `waited` is how long it may have waited to be accepted: its first request aged so long
-/// unread. Danger: counted from its reading alone, such a request is answered after its client has gone.
-async fn converse(stream: Async<TcpStream>, hub: Rc<EventBus>, waited: Micros) {
+/// Serves one connection. `waited` is how long the connection may have waited to be accepted, and thus how long its
+/// first request may have waited unread. If the deadline were counted from reading alone, the request would be
+/// answered after its client has left.
+async fn serve_connection(stream: Async<TcpStream>, event_bus: Rc<EventBus>, waited: Micros) {
     let _ = stream.get_ref().set_nodelay(true);
-    let decoder = Decoder::with_context(BODY_LIMIT, Rc::clone(&hub.classifier));
-    let mut line = Line { stream, decoder, room: None };
+    let decoder = Decoder::with_context(BODY_LIMIT, Rc::clone(&event_bus.classifier));
+    let mut connection = Connection { stream, decoder, body_reservation: None };
     let mut served = 0u64;
     loop {
-        let (head, body) = match next(&mut line, &hub, served == 0).await {
-            Next::Message(head, body) => (head, body),
-            Next::Bad(status) => return refuse(line, &hub, status).await,
-            Next::End => return,
+        let (head, body) = match next_request(&mut connection, &event_bus, served == 0).await {
+            NextRequest::Message(head, body) => (head, body),
+            NextRequest::Malformed(status) => return reject_and_close(connection, &event_bus, status).await,
+            NextRequest::Closed => return,
         };
         served += 1;
-        let keeps = head.keep_alive;
-        let asked = match head.into_request(body, &hub.names, &hub.classes, &hub.classifier, hub.clock.now())
-        {
-            // Danger: one who sends on before the answer did not mean what was read, and what hides behind a
-            // wrong length may be another's request.
-            ClientRequest::Call(_) if line.decoder.has_unread_message() => {
-                return refuse(line, &hub, 400).await
+        let keep_alive = head.keep_alive;
+        let request = match head.into_request(
+            body,
+            &event_bus.names,
+            &event_bus.classes,
+            &event_bus.classifier,
+            event_bus.clock.now(),
+        ) {
+            // A client that sends more before the answer did not mean what was read, and bytes behind a wrong length
+            // may be another client's request.
+            ClientRequest::Call(_) if connection.decoder.has_unread_message() => {
+                return reject_and_close(connection, &event_bus, 400).await
             }
-            asked => asked,
+            request => request,
         };
-        let written = match asked {
+        let written = match request {
             ClientRequest::ReadinessCheck => {
-                let ready = hub.ready.get()
-                    && !hub.is_stopping()
-                    && !hub.ledger_writer.is_down()
-                    && hub.accepts_requests();
-                line.write(&plain(if ready { 200 } else { 503 }, keeps)).await && keeps
+                let ready = event_bus.ready.get()
+                    && !event_bus.is_stopping()
+                    && !event_bus.ledger_writer.is_down()
+                    && event_bus.accepts_requests();
+                connection.write(&encode_status(if ready { 200 } else { 503 }, keep_alive)).await
+                    && keep_alive
             }
             ClientRequest::Invalid(status) => {
-                hub.count_malformed();
-                line.write(&plain(status, keeps)).await && keeps
+                event_bus.count_malformed();
+                connection.write(&encode_status(status, keep_alive)).await && keep_alive
             }
-            // Shut out, or without ground to send anything on: answered at once, before anything is taken.
-            ClientRequest::Call(_) if !hub.accepts_requests() => {
-                line.room = None;
-                let back = hub.member.as_ref().map_or(0, |m| m.retry_after());
-                line.write(&encode(&Answer::Refused(back), keeps)).await && keeps
+            // This front is quarantined or has no valid list: the call is refused at once, before any memory or
+            // record is taken for it.
+            ClientRequest::Call(_) if !event_bus.accepts_requests() => {
+                connection.body_reservation = None;
+                let retry_after = event_bus.member.as_ref().map_or(0, |m| m.retry_after());
+                connection.write(&encode(&Answer::Refused(retry_after), keep_alive)).await && keep_alive
             }
             ClientRequest::Call(call) => {
-                // Danger: two answers to one id are taken for each other, and an effect may happen twice.
-                let guarded = hub.ledger_writer.requires_record(&call);
-                let Some(_open) = hub.call_ids.open(&call.call_id, guarded) else {
-                    hub.count_malformed();
-                    if !line.write(&plain(409, keeps)).await || !keeps {
+                // Two answers to one id would be mistaken for each other, and a side effect might happen twice.
+                let needs_record = event_bus.ledger_writer.requires_record(&call);
+                let Some(_open) = event_bus.call_ids.open(&call.call_id, needs_record) else {
+                    event_bus.count_malformed();
+                    if !connection.write(&encode_status(409, keep_alive)).await || !keep_alive {
                         return;
                     }
-                    Timer::after(AGAIN_PACE).await;
+                    Timer::after(DUPLICATE_ID_DELAY).await;
                     continue;
                 };
-                let came = hub.clock.now();
-                let kept = if guarded { Some(hub.ledger_writer.record_intent(&call).await) } else { None };
-                let answered = match &kept {
-                    Some(LedgerDecision::Answered(answer)) => Some(encode(answer, keeps)),
-                    Some(LedgerDecision::AlreadyDone | LedgerDecision::InProgress) => Some(plain(409, keeps)),
+                let received_at = event_bus.clock.now();
+                let decision = if needs_record {
+                    Some(event_bus.ledger_writer.record_intent(&call).await)
+                } else {
+                    None
+                };
+                let recorded_answer = match &decision {
+                    Some(LedgerDecision::Answered(answer)) => Some(encode(answer, keep_alive)),
+                    Some(LedgerDecision::AlreadyDone | LedgerDecision::InProgress) => {
+                        Some(encode_status(409, keep_alive))
+                    }
                     Some(LedgerDecision::Admitted(_)) | None => None,
                 };
-                if let Some(bytes) = answered {
-                    line.room = None;
-                    if !line.write(&bytes).await || !keeps {
+                if let Some(bytes) = recorded_answer {
+                    connection.body_reservation = None;
+                    if !connection.write(&bytes).await || !keep_alive {
                         return;
                     }
                     continue;
                 }
-                let record = if let Some(LedgerDecision::Admitted(id)) = kept { Some(id) } else { None };
-                let aged = (if served == 1 { waited } else { 0 }) + (hub.clock.now() - came);
-                let exchange = hub.open_exchange(*call, aged);
-                let _ = hub.inputs.send(Input::Arrived(Rc::clone(&exchange))).await;
-                let wait = answer_or_leave(&mut line, &exchange, &hub).await;
-                if let Some(id) = record {
-                    let answer = if let Wait::Answer(answer) = &wait { Some(answer) } else { None };
-                    hub.ledger_writer.record_outcome(id, &exchange.call, answer).await;
+                let record_id =
+                    if let Some(LedgerDecision::Admitted(id)) = decision { Some(id) } else { None };
+                let waited_before =
+                    (if served == 1 { waited } else { 0 }) + (event_bus.clock.now() - received_at);
+                let exchange = event_bus.open_exchange(*call, waited_before);
+                let _ = event_bus.inputs.send(Input::Arrived(Rc::clone(&exchange))).await;
+                let wait_result = wait_for_answer(&mut connection, &exchange, &event_bus).await;
+                if let Some(id) = record_id {
+                    let answer =
+                        if let WaitResult::Answer(answer) = &wait_result { Some(answer) } else { None };
+                    event_bus.ledger_writer.record_outcome(id, &exchange.call, answer).await;
                 }
-                let answer = match wait {
-                    Wait::Answer(answer) => answer,
-                    Wait::Left => return,
-                    Wait::MoreCame => return refuse(line, &hub, 400).await,
+                let answer = match wait_result {
+                    WaitResult::Answer(answer) => answer,
+                    WaitResult::ClientLeft => return,
+                    WaitResult::UnexpectedData => return reject_and_close(connection, &event_bus, 400).await,
                 };
-                line.room = None;
-                let keep = keeps && !hub.is_stopping();
-                line.write(&encode(&answer, keep)).await && keep
+                connection.body_reservation = None;
+                let keep = keep_alive && !event_bus.is_stopping();
+                connection.write(&encode(&answer, keep)).await && keep
             }
         };
         if !written {
@@ -330,109 +351,119 @@
     }
 }
 
-/// Answers what cannot be read with an error, and ends the connection.
-async fn refuse(mut line: Line, hub: &EventBus, status: u16) {
-    hub.count_malformed();
-    line.room = None;
-    if line.write(&plain(status, false)).await {
-        line.end_midway().await;
+/// Answers an unreadable request with an error and closes the connection.
+async fn reject_and_close(mut connection: Connection, event_bus: &EventBus, status: u16) {
+    event_bus.count_malformed();
+    connection.body_reservation = None;
+    if connection.write(&encode_status(status, false)).await {
+        connection.close_lingering().await;
     }
 }
 
-/// The next whole request. Between requests a stop ends the connection; inside one it is read to its end.
-async fn next(line: &mut Line, hub: &EventBus, fresh: bool) -> Next {
-    let begun = Instant::now();
-    // A new connection owes its request from its beginning, a kept one from the request's first byte.
-    let mut due = fresh.then(|| begun + REQUEST_WITHIN);
+/// Reads the next whole request. A stop closes the connection between requests; a request that has begun is read to
+/// its end.
+async fn next_request(connection: &mut Connection, event_bus: &EventBus, is_new: bool) -> NextRequest {
+    let started_at = Instant::now();
+    // The request timeout runs from the opening of a new connection, or from the first byte on a kept one.
+    let mut deadline = is_new.then(|| started_at + REQUEST_TIMEOUT);
     loop {
-        match line.decoder.next_message() {
-            Ok(Some((head, body))) => return Next::Message(Box::new(head), body),
+        match connection.decoder.next_message() {
+            Ok(Some((head, body))) => return NextRequest::Message(Box::new(head), body),
             Ok(None) => {}
             Err(e) => {
                 log::debug!("client: {e}");
-                return Next::Bad(e.status());
+                return NextRequest::Malformed(e.status());
             }
         }
-        let idle = line.decoder.is_idle();
-        let needed = line.decoder.expected_body_len();
-        if needed > SMALL_BODY && line.room.is_none() {
-            line.room = hub.body_memory.reserve(needed);
-            if line.room.is_none() {
-                return Next::Bad(503);
+        let idle = connection.decoder.is_idle();
+        let body_len = connection.decoder.expected_body_len();
+        if body_len > UNRESERVED_BODY_BYTES && connection.body_reservation.is_none() {
+            connection.body_reservation = event_bus.body_memory.reserve(body_len);
+            if connection.body_reservation.is_none() {
+                return NextRequest::Malformed(503);
             }
         }
-        if line.decoder.take_continue_request(|h| h.expects_continue)
-            && !line.write(b"HTTP/1.1 100 Continue\r\n\r\n").await
+        if connection.decoder.take_continue_request(|h| h.expects_continue)
+            && !connection.write(b"HTTP/1.1 100 Continue\r\n\r\n").await
         {
-            return Next::End;
+            return NextRequest::Closed;
         }
-        let stopped = async {
-            hub.stop_begun().await;
-            if fresh {
-                Timer::after(FIRST_WITHIN).await;
+        let stop = async {
+            event_bus.stop_begun().await;
+            if is_new {
+                Timer::after(STOP_FIRST_REQUEST_TIMEOUT).await;
             }
             None
         };
-        let yields = async {
-            // Danger: a request on its way here finds its connection gone, and clients that must connect anew
-            // for each request fill all places with connections still to bring one. So only those yield on
-            // which nothing has come for a good while of a busy moment.
-            Timer::after(if fresh { SILENT_LEAST } else { IDLE_LEAST }).await;
-            hub.descriptors.idle_close_requested(fresh).await;
+        let close_requested = async {
+            // A request in transit would find its connection closed, and clients that must reconnect for each
+            // request would use up all descriptors with connections that have yet to send one. So only connections
+            // that have been silent for a while even in a busy period are closed.
+            Timer::after(if is_new { MIN_SILENT_TIME } else { MIN_IDLE_TIME }).await;
+            event_bus.descriptors.idle_close_requested(is_new).await;
             None
         };
-        // What has come wins over a stop and over others' needs: a request already there is served.
+        // Data that has arrived takes precedence over a stop and over a request to close: a request that is already
+        // there is served.
         let read = if idle {
-            let _counted = CountGuard::new(&hub.idle_clients[usize::from(!fresh)]);
-            let since = hub.clock.now();
-            let until = due.unwrap_or(begun + IDLE_WITHIN);
-            let ends = async {
+            let _counted = CountGuard::new(&event_bus.idle_clients[usize::from(!is_new)]);
+            let waiting_since = event_bus.clock.now();
+            let until = deadline.unwrap_or(started_at + IDLE_TIMEOUT);
+            let timeout = async {
                 Timer::at(until).await;
                 None
             };
-            let others = future::or(ends, future::or(stopped, yields));
-            let read = future::or(async { Some(line.read().await) }, others).await;
-            if fresh {
-                hub.max_first_byte_wait.set(hub.max_first_byte_wait.get().max(hub.clock.now() - since));
+            let others = future::or(timeout, future::or(stop, close_requested));
+            let read = future::or(async { Some(connection.read().await) }, others).await;
+            if is_new {
+                event_bus
+                    .max_first_byte_wait
+                    .set(event_bus.max_first_byte_wait.get().max(event_bus.clock.now() - waiting_since));
             }
             read
         } else {
-            let left = due.map_or(REQUEST_WITHIN, |d| d.saturating_duration_since(Instant::now()));
-            match with_timeout(left, line.read()).await {
+            let remaining = deadline.map_or(REQUEST_TIMEOUT, |d| d.saturating_duration_since(Instant::now()));
+            match with_timeout(remaining, connection.read()).await {
                 Some(read) => Some(read),
-                None => return Next::Bad(408),
+                None => return NextRequest::Malformed(408),
             }
         };
         match read {
-            Some(Ok(n)) if n > 0 => due = due.or_else(|| Some(Instant::now() + REQUEST_WITHIN)),
-            _ => return Next::End,
+            Some(Ok(n)) if n > 0 => deadline = deadline.or_else(|| Some(Instant::now() + REQUEST_TIMEOUT)),
+            _ => return NextRequest::Closed,
         }
     }
 }
 
 /// How the wait for a final answer ended.
-enum Wait {
+enum WaitResult {
     Answer(Answer),
-    Left,
-    /// The client has sent on, which nobody does who waits for an answer.
-    MoreCame,
+    ClientLeft,
+    /// The client sent more data, which no client does that waits for an answer.
+    UnexpectedData,
 }
 
-/// The final answer, unless the client closes its connection or sends something else before.
-async fn answer_or_leave(line: &mut Line, exchange: &Rc<Exchange>, hub: &EventBus) -> Wait {
-    let answered = async { Wait::Answer(exchange.wait_for_answer().await) };
+/// Waits for the final answer, unless the client closes its connection or sends more data before.
+async fn wait_for_answer(
+    connection: &mut Connection,
+    exchange: &Rc<Exchange>,
+    event_bus: &EventBus,
+) -> WaitResult {
+    let answered = async { WaitResult::Answer(exchange.wait_for_answer().await) };
     let left = async {
         loop {
-            match line.read().await {
-                Ok(n) if n > 0 && line.decoder.has_unread_message() => return Wait::MoreCame,
-                Ok(n) if n > 0 => line.decoder.skip_blank_lines(),
-                _ => return Wait::Left,
+            match connection.read().await {
+                Ok(n) if n > 0 && connection.decoder.has_unread_message() => {
+                    return WaitResult::UnexpectedData
+                }
+                Ok(n) if n > 0 => connection.decoder.skip_blank_lines(),
+                _ => return WaitResult::ClientLeft,
             }
         }
     };
-    let ended = future::or(answered, left).await;
-    if !matches!(ended, Wait::Answer(_)) && exchange.abandon() {
-        let _ = hub.inputs.send(Input::ClientLeft(exchange.id)).await;
+    let result = future::or(answered, left).await;
+    if !matches!(result, WaitResult::Answer(_)) && exchange.abandon() {
+        let _ = event_bus.inputs.send(Input::ClientLeft(exchange.id)).await;
     }
-    ended
+    result
 }
