--- a/crates/yarrowspoke-front/src/net/http.rs
+++ b/crates/yarrowspoke-front/src/net/http.rs
@@ -1,53 +1,54 @@
-//! HTTP/1.1, incremental and bounded: bytes go in as they come, whole messages come out.
+//! Incremental HTTP/1.1 decoding and encoding with bounded memory: bytes are fed in as they arrive, whole messages
+//! come out.
 //!
-//! A message's head is decoded once, into the typed value of whoever reads it ([`FromHead`]).
+//! A message's head is decoded once, into the reader's own type ([`FromHead`]).
 
 use thiserror::Error;
 
-/// Most bytes of a message's head.
+/// Largest head of a message, in bytes.
 pub const HEAD_LIMIT: usize = 8 * 1024;
-/// Most bytes of a body, as the protocol says.
+/// Largest body, in bytes, as the protocol defines it.
 pub const BODY_LIMIT: usize = 64 * 1024;
 /// Most header fields of a message.
 pub const FIELD_LIMIT: usize = 64;
-/// Most bytes of a line that states a chunk's size.
+/// Largest line that states a chunk's size, in bytes.
 const CHUNK_LINE_LIMIT: usize = 256;
-/// Most interim messages before a final one.
+/// Most interim responses before a final one.
 const INTERIM_LIMIT: u32 = 16;
-/// Room that a decoder keeps between messages.
-const KEPT_ROOM: usize = 1024;
+/// Buffer capacity that a decoder keeps between messages, in bytes.
+const RETAINED_CAPACITY: usize = 1024;
 
-/// What is wrong with a message.
+/// Why a message cannot be decoded.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum HttpError {
-    /// The first line is not of HTTP/1.
-    #[error("first line cannot be read")]
+    /// The start line is not one of HTTP/1.
+    #[error("start line cannot be read")]
     StartLine,
     /// A header field is malformed, or two contradict each other.
-    #[error("header field cannot be read")]
+    #[error("header field is malformed")]
     HeaderField,
-    /// A field that this message needs is missing or has no sense.
-    #[error("{0} is missing or cannot be read")]
+    /// A field that this message requires is missing or has an invalid value.
+    #[error("{0} is missing or invalid")]
     InvalidValue(&'static str),
-    /// The head is over its limit.
+    /// The head exceeds its limit.
     #[error("head too large")]
     HeadTooLarge,
-    /// The body is over its limit.
+    /// The body exceeds its limit.
     #[error("body too large")]
     BodyTooLarge,
-    /// The body's framing cannot be followed.
-    #[error("body framing cannot be read")]
+    /// The framing of the body is invalid.
+    #[error("body framing is invalid")]
     Framing,
-    /// More interim messages than anybody needs.
-    #[error("too many interim messages")]
+    /// There are more interim responses than any sender needs.
+    #[error("too many interim responses")]
     TooManyInterim,
-    /// The connection ended inside the message.
-    #[error("message cut short")]
+    /// The connection ended within the message.
+    #[error("message truncated")]
     Truncated,
 }
 
 impl HttpError {
-    /// The status with which a server says so.
+    /// Returns the status with which a server answers such a message.
     pub fn status(self) -> u16 {
         match self {
             Self::HeadTooLarge => 431,
@@ -57,59 +58,60 @@
     }
 }
 
-/// A head taken apart, borrowed from the bytes that came.
+/// A head split into its parts, borrowed from the received bytes.
 pub struct RawHead<'a> {
-    /// The three parts of the first line; the last may hold spaces or be empty.
+    /// The three parts of the start line; the last may contain spaces or be empty.
     pub start_line: [&'a str; 3],
     fields: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> RawHead<'a> {
-    /// The first field of this name, whatever its case.
+    /// Returns the first field of this name, ignoring case.
     pub fn field(&self, name: &str) -> Option<&'a str> {
         self.fields.iter().find(|f| f.0.eq_ignore_ascii_case(name)).map(|f| f.1)
     }
 
-    /// The only field of this name. Danger: of two, each reader may believe another.
+    /// Returns the only field of this name; a repeated field is an error, since two readers might each use a
+    /// different one.
     pub fn unique_field(&self, name: &'static str) -> Result<Option<&'a str>, HttpError> {
         self.unique_field_at_runtime(name).map_err(|_| HttpError::InvalidValue(name))
     }
 
-    /// The same for a name that is known only while the program runs.
+    /// Same as [`RawHead::unique_field`], for a name that is known only at run time.
     pub fn unique_field_at_runtime(&self, name: &str) -> Result<Option<&'a str>, HttpError> {
-        let mut named = self.fields.iter().filter(|f| f.0.eq_ignore_ascii_case(name));
-        match (named.next(), named.next()) {
+        let mut matching = self.fields.iter().filter(|f| f.0.eq_ignore_ascii_case(name));
+        match (matching.next(), matching.next()) {
             (first, None) => Ok(first.map(|f| f.1)),
             _ => Err(HttpError::HeaderField),
         }
     }
 
-    /// Whether a field that lists words holds this one.
-    fn lists(&self, name: &str, word: &str) -> bool {
-        let of_name = self.fields.iter().filter(|f| f.0.eq_ignore_ascii_case(name));
-        of_name.flat_map(|f| f.1.split(',')).any(|w| w.trim().eq_ignore_ascii_case(word))
+    /// Returns whether a comma-separated field contains this word.
+    fn field_contains(&self, name: &str, word: &str) -> bool {
+        let matching = self.fields.iter().filter(|f| f.0.eq_ignore_ascii_case(name));
+        matching.flat_map(|f| f.1.split(',')).any(|w| w.trim().eq_ignore_ascii_case(word))
     }
 
-    /// Whether the sender keeps the connection after this message.
+    /// Returns whether the sender keeps the connection open after this message.
     pub fn keeps_alive(&self, version: &str) -> bool {
         match version {
-            "HTTP/1.1" => !self.lists("connection", "close"),
-            _ => self.lists("connection", "keep-alive"),
+            "HTTP/1.1" => !self.field_contains("connection", "close"),
+            _ => self.field_contains("connection", "keep-alive"),
         }
     }
 
-    /// The stated framing of the body, if any is stated.
+    /// Returns the framing of the body as the head states it, if it does.
     fn framing(&self) -> Result<Option<Framing>, HttpError> {
-        let coded = self.unique_field("transfer-encoding").map_err(|_| HttpError::Framing)?;
+        let transfer_encoding = self.unique_field("transfer-encoding").map_err(|_| HttpError::Framing)?;
         let mut lengths = self.fields.iter().filter(|f| f.0.eq_ignore_ascii_case("content-length"));
         let length = lengths.next().map(|f| f.1);
-        // Danger: two readers that disagree on where a message ends take bytes of one for another.
-        if lengths.any(|f| Some(f.1) != length) || coded.is_some() && length.is_some() {
+        // Two readers that disagree on where a message ends would take bytes of one message for another.
+        if lengths.any(|f| Some(f.1) != length) || transfer_encoding.is_some() && length.is_some() {
             return Err(HttpError::Framing);
         }
-        if let Some(coding) = coded {
-            let chunked = coding.trim().eq_ignore_ascii_case("chunked");
-            return if chunked { Ok(Some(Framing::Chunked)) } else { Err(HttpError::Framing) };
+        if let Some(coding) = transfer_encoding {
+            let is_chunked = coding.trim().eq_ignore_ascii_case("chunked");
+            return if is_chunked { Ok(Some(Framing::Chunked)) } else { Err(HttpError::Framing) };
         }
         let Some(length) = length else { return Ok(None) };
         if length.is_empty() || !length.bytes().all(|b| b.is_ascii_digit()) {
@@ -122,7 +124,7 @@
 /// Where a body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// After so many bytes.
+    /// After a fixed number of bytes.
     Length(usize),
     /// After the last chunk.
     Chunked,
@@ -130,103 +132,115 @@
     UntilClose,
 }
 
-/// A typed value decoded from a head.
+/// A type that is decoded from a head.
 pub trait FromHead: Sized {
-    /// What else the reader goes by.
+    /// Further input to the decoding of a head.
     type Context;
     /// Decodes the head.
     fn from_head(head: &RawHead, context: &Self::Context) -> Result<Self, HttpError>;
-    /// Whether a field whose value cannot be read spoils the head; else it counts as absent, unless the
-    /// framing hangs on it.
+    /// Whether an unreadable field value makes the head invalid; otherwise the field counts as absent, unless the
+    /// framing depends on it.
     const STRICT: bool;
-    /// How a body without stated framing ends; `None` if it must be stated.
+    /// Returns the framing of a body whose head states none; `None` if it must be stated.
     fn default_framing(&self) -> Option<Framing>;
-    /// Whether the message is only an interim one, to be skipped.
+    /// Returns whether the message is an interim response, to be skipped.
     fn is_interim(&self) -> bool {
         false
     }
-    /// Whether no body follows, whatever the fields say.
+    /// Returns whether no body follows, whatever the fields state.
     fn has_no_body(&self) -> bool {
         false
     }
 }
 
-/// Turns bytes into messages.
+/// Decodes bytes into messages.
 pub struct Decoder<T: FromHead> {
     buffer: Vec<u8>,
-    searched: usize,
-    begun: Option<(T, Framing)>,
+    searched_len: usize,
+    current: Option<(T, Framing)>,
     body: Vec<u8>,
-    trailer: bool,
-    continued: bool,
-    interims: u32,
-    /// Bytes of lines between chunks and of the trailer.
-    between: usize,
+    in_trailer: bool,
+    continue_sent: bool,
+    interim_count: u32,
+    /// Bytes of the lines between chunks and of the trailer.
+    overhead_bytes: usize,
     body_limit: usize,
     context: T::Context,
 }
 
 impl<T: FromHead<Context = ()>> Decoder<T> {
-    /// A decoder for bodies up to `body_limit`.
+    /// Returns a decoder for bodies of up to `body_limit` bytes.
     pub fn new(body_limit: usize) -> Self {
         Self::with_context(body_limit, ())
     }
 }
 
 impl<T: FromHead> Decoder<T> {
-    /// A decoder for bodies up to `body_limit`, whose heads are read by `context`.
+    /// Returns a decoder for bodies of up to `body_limit` bytes whose heads are decoded with `context`.
     pub fn with_context(body_limit: usize, context: T::Context) -> Self {
         let (buffer, body) = (Vec::new(), Vec::new());
-        let (begun, trailer, continued) = (None, false, false);
-        let (searched, interims, between) = (0, 0, 0);
-        Self { buffer, searched, begun, body, trailer, continued, interims, between, body_limit, context }
+        let (current, in_trailer, continue_sent) = (None, false, false);
+        let (searched_len, interim_count, overhead_bytes) = (0, 0, 0);
+        Self {
+            buffer,
+            searched_len,
+            current,
+            body,
+            in_trailer,
+            continue_sent,
+            interim_count,
+            overhead_bytes,
+            body_limit,
+            context,
+        }
     }
 
-    /// Takes bytes as they came.
+    /// Adds received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// True between messages: nothing of the next one has come.
+    /// Returns whether the decoder is between messages, with no byte of the next one received.
     pub fn is_idle(&self) -> bool {
-        self.buffer.is_empty() && self.begun.is_none()
+        self.buffer.is_empty() && self.current.is_none()
     }
 
-    /// True if bytes of a further message are there.
+    /// Returns whether bytes of a further message have been received.
     pub fn has_unread_message(&self) -> bool {
         !self.buffer.iter().all(|b| matches!(b, b'\r' | b'\n'))
     }
 
-    /// Most bytes that the body of the message begun may still bring.
+    /// Returns the largest number of body bytes that the current message may have.
     pub fn expected_body_len(&self) -> usize {
-        match self.begun.as_ref().map(|b| b.1) {
+        match self.current.as_ref().map(|b| b.1) {
             Some(Framing::Length(n)) => n,
             Some(_) => self.body_limit,
             None => 0,
         }
     }
 
-    /// True if a head has come whose sender, by `asks`, waits for leave to send the body; asked once.
-    pub fn take_continue_request(&mut self, asks: impl Fn(&T) -> bool) -> bool {
-        let waits = self.begun.as_ref().is_some_and(|b| asks(&b.0)) && self.buffer.is_empty();
-        waits && !std::mem::replace(&mut self.continued, true)
+    /// Returns true once per message, if its head has arrived and its sender waits for `100 Continue` according to
+    /// `expects_continue`.
+    pub fn take_continue_request(&mut self, expects_continue: impl Fn(&T) -> bool) -> bool {
+        let waits = self.current.as_ref().is_some_and(|b| expects_continue(&b.0)) && self.buffer.is_empty();
+        waits && !std::mem::replace(&mut self.continue_sent, true)
     }
 
-    /// Forgets empty lines between messages.
+    /// Discards empty lines between messages.
     pub fn skip_blank_lines(&mut self) {
         if !self.has_unread_message() {
             self.consume(self.buffer.len());
         }
     }
 
-    /// The next whole message, if it has come.
+    /// Returns the next message, if it is complete.
     pub fn next_message(&mut self) -> Result<Option<(T, Vec<u8>)>, HttpError> {
         loop {
-            if self.begun.is_none() && !self.read_head()? {
+            if self.current.is_none() && !self.read_head()? {
                 return Ok(None);
             }
-            let Some((_, framing)) = &self.begun else { return Ok(None) };
-            let whole = match *framing {
+            let Some((_, framing)) = &self.current else { return Ok(None) };
+            let is_complete = match *framing {
                 Framing::Length(n) => self.read_length(n),
                 Framing::Chunked => self.read_chunks()?,
                 Framing::UntilClose => {
@@ -237,57 +251,57 @@
                     false
                 }
             };
-            if !whole {
+            if !is_complete {
                 return Ok(None);
             }
-            let Some(message) = self.take() else { return Ok(None) };
+            let Some(message) = self.take_message() else { return Ok(None) };
             if !message.0.is_interim() {
-                self.interims = 0;
+                self.interim_count = 0;
                 return Ok(Some(message));
             }
-            // Danger: a sender of interim messages without end would hold its reader for ever.
-            self.interims += 1;
-            if self.interims > INTERIM_LIMIT {
+            // A sender of endless interim responses would block its reader forever.
+            self.interim_count += 1;
+            if self.interim_count > INTERIM_LIMIT {
                 return Err(HttpError::TooManyInterim);
             }
         }
     }
 
-    /// The message that the connection's end completes, if there is one.
+    /// Returns the message that the end of the connection completes, if there is one.
     pub fn finish(&mut self) -> Result<Option<(T, Vec<u8>)>, HttpError> {
-        match &self.begun {
-            Some((_, Framing::UntilClose)) => Ok(self.take()),
+        match &self.current {
+            Some((_, Framing::UntilClose)) => Ok(self.take_message()),
             None if self.buffer.is_empty() => Ok(None),
             _ => Err(HttpError::Truncated),
         }
     }
 
-    fn take(&mut self) -> Option<(T, Vec<u8>)> {
-        (self.trailer, self.continued, self.between) = (false, false, 0);
+    fn take_message(&mut self) -> Option<(T, Vec<u8>)> {
+        (self.in_trailer, self.continue_sent, self.overhead_bytes) = (false, false, 0);
         let body = std::mem::take(&mut self.body);
-        self.begun.take().map(|(head, _)| (head, body))
+        self.current.take().map(|(head, _)| (head, body))
     }
 
-    fn consume(&mut self, n: usize) {
-        self.buffer.drain(..n);
-        self.searched = 0;
+    fn consume(&mut self, len: usize) {
+        self.buffer.drain(..len);
+        self.searched_len = 0;
         if self.buffer.is_empty() {
-            self.buffer.shrink_to(KEPT_ROOM);
+            self.buffer.shrink_to(RETAINED_CAPACITY);
         }
     }
 
     fn read_head(&mut self) -> Result<bool, HttpError> {
-        // An empty line before a message is skipped, as the standard advises.
+        // An empty line before a message is skipped, as the standard recommends.
         while self.buffer.starts_with(b"\r\n") {
             self.consume(2);
         }
-        // What was searched already holds no end; three of its bytes may begin one.
-        let from = self.searched.saturating_sub(3);
+        // The bytes searched before contain no end of the head, but their last three may be the beginning of one.
+        let from = self.searched_len.saturating_sub(3);
         let found = self.buffer[from..].windows(4).position(|w| w == b"\r\n\r\n");
         let Some(end) = found.map(|at| from + at) else {
-            self.searched = self.buffer.len();
-            let over = self.buffer.len() > HEAD_LIMIT;
-            return if over { Err(HttpError::HeadTooLarge) } else { Ok(false) };
+            self.searched_len = self.buffer.len();
+            let too_long = self.buffer.len() > HEAD_LIMIT;
+            return if too_long { Err(HttpError::HeadTooLarge) } else { Ok(false) };
         };
         if end > HEAD_LIMIT {
             return Err(HttpError::HeadTooLarge);
@@ -305,35 +319,35 @@
         if let Framing::Length(n) = framing {
             self.buffer.reserve_exact((end + 4 + n).saturating_sub(self.buffer.len()));
         }
-        self.begun = Some((head, framing));
+        self.current = Some((head, framing));
         self.consume(end + 4);
         Ok(true)
     }
 
-    fn read_length(&mut self, n: usize) -> bool {
-        if self.buffer.len() < n {
+    fn read_length(&mut self, len: usize) -> bool {
+        if self.buffer.len() < len {
             return false;
         }
-        let rest = self.buffer.split_off(n);
+        let rest = self.buffer.split_off(len);
         self.body = std::mem::replace(&mut self.buffer, rest);
-        self.searched = 0;
+        self.searched_len = 0;
         true
     }
 
-    /// Takes whole chunks; true after the last one and its trailer.
+    /// Consumes complete chunks; returns true after the last one and its trailer.
     fn read_chunks(&mut self) -> Result<bool, HttpError> {
         loop {
             let line_end = self.buffer.windows(2).position(|w| w == b"\r\n");
             let Some(line_end) = line_end.filter(|at| *at <= CHUNK_LINE_LIMIT) else {
-                let over = line_end.is_some() || self.buffer.len() > CHUNK_LINE_LIMIT + 1;
-                return if over { Err(HttpError::Framing) } else { Ok(false) };
+                let too_long = line_end.is_some() || self.buffer.len() > CHUNK_LINE_LIMIT + 1;
+                return if too_long { Err(HttpError::Framing) } else { Ok(false) };
             };
-            // Danger: lines between chunks, and a trailer, may go on without end.
-            self.between += line_end + 2;
-            if self.between > HEAD_LIMIT + self.body_limit {
+            // Lines between chunks, and a trailer, might go on without end.
+            self.overhead_bytes += line_end + 2;
+            if self.overhead_bytes > HEAD_LIMIT + self.body_limit {
                 return Err(HttpError::Framing);
             }
-            if self.trailer {
+            if self.in_trailer {
                 self.consume(line_end + 2);
                 if line_end == 0 {
                     return Ok(true);
@@ -350,7 +364,7 @@
                 return Err(HttpError::BodyTooLarge);
             }
             if size == 0 {
-                self.trailer = true;
+                self.in_trailer = true;
                 self.consume(line_end + 2);
                 continue;
             }
@@ -369,31 +383,31 @@
 
 fn split_head(bytes: &[u8], strict: bool) -> Result<RawHead<'_>, HttpError> {
     let mut rest = Some(bytes);
-    let mut line = || {
-        let all = rest?;
-        let end = all.windows(2).position(|w| w == b"\r\n");
-        rest = end.map(|at| &all[at + 2..]);
-        Some(&all[..end.unwrap_or(all.len())])
+    let mut next_line = || {
+        let remaining = rest?;
+        let end = remaining.windows(2).position(|w| w == b"\r\n");
+        rest = end.map(|at| &remaining[at + 2..]);
+        Some(&remaining[..end.unwrap_or(remaining.len())])
     };
-    let first = line().and_then(|l| std::str::from_utf8(l).ok()).ok_or(HttpError::StartLine)?;
+    let first = next_line().and_then(|l| std::str::from_utf8(l).ok()).ok_or(HttpError::StartLine)?;
     let mut parts = first.splitn(3, ' ');
-    let mut part = || parts.next().unwrap_or("");
-    let start_line = [part(), part(), part()];
+    let mut next_part = || parts.next().unwrap_or("");
+    let start_line = [next_part(), next_part(), next_part()];
     let mut fields = Vec::new();
-    while let Some(line) = line() {
+    while let Some(line) = next_line() {
         let colon = line.iter().position(|b| *b == b':').ok_or(HttpError::HeaderField)?;
         let (name, value) = (&line[..colon], &line[colon + 1..]);
-        let token = |b: &u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(b);
-        let name = std::str::from_utf8(name).ok().filter(|n| !n.is_empty() && n.as_bytes().iter().all(token));
+        let is_token = |b: &u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(b);
+        let name =
+            std::str::from_utf8(name).ok().filter(|n| !n.is_empty() && n.as_bytes().iter().all(is_token));
         let name = name.ok_or(HttpError::HeaderField)?;
         if fields.len() == FIELD_LIMIT {
             return Err(HttpError::HeadTooLarge);
         }
-        let legible = !value.iter().any(|b| *b < b' ' && *b != b'\t' || *b == 0x7f);
+        let is_readable = !value.iter().any(|b| *b < b' ' && *b != b'\t' || *b == 0x7f);
         match std::str::from_utf8(value) {
-            Ok(value) if legible => fields.push((name, value.trim_matches([' ', '\t']))),
-            // Danger: a good answer must not be lost to a report that cannot be read, but where it ends must be
-            // beyond doubt.
+            Ok(value) if is_readable => fields.push((name, value.trim_matches([' ', '\t']))),
+            // A good response must not be lost because of an unreadable report, but its end must be certain.
             _ if !strict && !FRAMING_FIELDS.iter().any(|f| name.eq_ignore_ascii_case(f)) => {}
             _ => return Err(HttpError::HeaderField),
         }
@@ -401,27 +415,27 @@
     Ok(RawHead { start_line, fields })
 }
 
-/// Fields that say where a message and its connection end.
+/// Fields that define where a message and its connection end.
 const FRAMING_FIELDS: [&str; 3] = ["content-length", "transfer-encoding", "connection"];
 
-/// Encodes messages, each into one buffer that is written at once.
+/// Encodes a message into one buffer, to be written at once.
 pub struct Encoder {
     bytes: Vec<u8>,
 }
 
 impl Encoder {
-    /// Begins a message with its first line.
-    pub fn new(start: std::fmt::Arguments) -> Self {
-        Self { bytes: format!("{start}\r\n").into_bytes() }
+    /// Starts a message with its start line.
+    pub fn new(start_line: std::fmt::Arguments) -> Self {
+        Self { bytes: format!("{start_line}\r\n").into_bytes() }
     }
 
-    /// Adds a field.
+    /// Adds a header field.
     pub fn field(mut self, name: &str, value: std::fmt::Arguments) -> Self {
         self.bytes.extend_from_slice(format!("{name}: {value}\r\n").as_bytes());
         self
     }
 
-    /// Ends the head and adds the body.
+    /// Ends the head and appends the body.
     pub fn body(mut self, body: &[u8]) -> Vec<u8> {
         self.bytes.extend_from_slice(b"\r\n");
         self.bytes.extend_from_slice(body);
