--- a/crates/yarrowspoke/src/rules/judge.rs
+++ b/crates/yarrowspoke/src/rules/judge.rs
@@ -63,7 +63,7 @@
 impl Front {
     /// Holds to other settings from now on; to the sizes of faults in them from the next build.
     pub fn replace_settings(&mut self, s: Settings) {
-        (self.alarms, self.settings) = (judge_design(&s).1, s);
+        (self.alarm_bounds, self.settings) = (judge_design(&s).1, s);
     }
 
     /// Takes an outcome as evidence on the newest build, for or against it. A build that was taken off is no
@@ -112,14 +112,15 @@
         };
         let rates = self.settings.error_rates.unwrap_or(DEFAULT_ERROR_RATES);
         let f: Findings = book.findings();
-        let (alarm, slow_alarm) = (self.alarms[usize::from(self.state.failures_are_common)], self.alarms[2]);
+        let (alarm, slow_alarm) =
+            (self.alarm_bounds[usize::from(self.state.failures_are_common)], self.alarm_bounds[2]);
         let trial = || self.state.samples.get(&build).into_iter().flatten();
         let lately = || trial().filter(|s| s.at + EVIDENCE_WINDOW > now);
         let of = |class| lately().filter(|s| s.class == class).count();
         let thin = (0..self.settings.classes.len()).all(|class| of(class) < MIN_OUTCOMES);
         // A machine alone may be sick by itself; that a fault lasts is all that speaks against its build.
         // Before the last stage more machines come, and the next stage tells one from the other.
-        let next = usize::from(self.stage(build)) + 1 < self.settings.release.stage_shares.len();
+        let next = usize::from(self.stage_of(build)) + 1 < self.settings.release.stage_shares.len();
         let alone = self.state.ready_machines(build).count() < 2 && !next;
         // Danger: of a stage's few machines several may be sick, and what they add lasts into later stages. A
         // build's own fault shows on most of its machines: the better half must not speak for it. But a fault
@@ -151,7 +152,7 @@
         }
         let wrong = self.complaint_evidence(build, rates.min_failure_increase);
         if wrong > 0.0 {
-            worst = worst.max(if wrong >= self.alarms[1] { Finding::Fault } else { Finding::Doubt });
+            worst = worst.max(if wrong >= self.alarm_bounds[1] { Finding::Fault } else { Finding::Doubt });
         }
         let trial_pace = pace_relative_to(lately(), &self.state.baseline_paces, PACE_LEAST);
         // Danger: earlier machines left idle look quick, and once they are gone a busy moment of the new ones
