--- a/crates/yarrowspoke/src/rules/admission.rs
+++ b/crates/yarrowspoke/src/rules/admission.rs
@@ -1,66 +1,85 @@
-//! Admission under overload: requests that cannot meet their aim are refused at once.
+//! Admission under overload: requests that cannot meet their latency target are refused at once.
 
 use super::{Front, ANSWER_TIME_WINDOW, UNLOADED_SHARE};
 use crate::accounting::*;
 use crate::interface::*;
 use rand_core::RngCore;
 
-const QUEUE_TIMES: f64 = 3.0; // multiple of the usual answer time up to which an attempt counts as queue
-const FIT: (f64, f64) = (0.55, 0.25); // part of the tightest aim that answers may take; over share or late
-const WORK_MOST: f64 = 1.5; // most times the usual work that a request's rough hint is taken to mean
-const CHANCE: f64 = 4.0; // requests one of many fronts may hold by chance, over the root of what it bears
-const WORTH_POWER: f64 = 0.5; // power of its worth over the dearest by which a class is given up first
-const QUOTA_LEAST: f64 = 5.0; // requests that a tenant may send at once to any front
-const FREE_SLOTS: f64 = 3.0; // requests a machine always admitted
+/// Multiple of the usual answer time up to which an attempt in flight counts as part of the queue.
+const QUEUED_ANSWER_TIMES: f64 = 3.0;
+/// Fraction of the shortest latency target that answers may take.
+const TARGET_SHARE: f64 = 0.55;
+/// The same fraction for requests over their tenant's share and for requests that would be late.
+const LOW_PRIORITY_TARGET_SHARE: f64 = 0.25;
+/// Greatest multiple of the usual work that a request's work hint, which is rough, is taken to mean.
+const MAX_RELATIVE_WORK: f64 = 1.5;
+/// Requests that one of many fronts may have in flight by chance, times the square root of what it can bear.
+const CHANCE_FACTOR: f64 = 4.0;
+/// Exponent on a class's worth, relative to the highest, that sets the order in which classes are shed.
+const WORTH_EXPONENT: f64 = 0.5;
+/// Number of requests that a tenant may always send at once to any front.
+const MIN_QUOTA_BURST: f64 = 5.0;
+/// Number of requests in flight per machine, over all fronts, up to which requests are always admitted.
+const FREE_SLOTS_PER_MACHINE: f64 = 3.0;
 
 impl Front {
-    /// Whether a tenant has used up what its quota allows it at this front.
+    /// Returns whether a tenant has used up its quota at this front, and takes one request from the quota.
     pub(super) fn is_over_share(&mut self, now: Micros, tenant: usize) -> bool {
-        let Some(set) = self.settings.tenants.get(tenant) else { return false };
-        let rate = set.quota_rps / f64::from(self.settings.fronts.max(1));
-        !self.state.tenant_quotas[tenant].try_take(now, rate, rate.max(QUOTA_LEAST))
+        let Some(quota) = self.settings.tenants.get(tenant) else { return false };
+        let rate = quota.quota_rps / f64::from(self.settings.fronts.max(1));
+        !self.state.tenant_quotas[tenant].try_take(now, rate, rate.max(MIN_QUOTA_BURST))
     }
 
-    /// The shortest time in which any class wants its answers.
+    /// Returns the shortest latency target of all classes, in microseconds.
     pub(super) fn min_latency_target(&self) -> f64 {
         self.settings.classes.iter().map(|c| c.latency_target).min().unwrap_or(0) as f64
     }
 
-    /// By Little's law the work in flight over the completion rate predicts the answer time.
-    pub(super) fn admits(&mut self, now: Micros, r: &Request) -> bool {
-        let (lot, tightest) = (hash_to_unit(self.rng.next_u64()), self.min_latency_target());
-        if self.state.answer_time < UNLOADED_SHARE * tightest {
+    /// Returns whether a request is admitted. By Little's law, the work in flight divided by the completion rate predicts
+    /// the answer time.
+    pub(super) fn admits(&mut self, now: Micros, request: &Request) -> bool {
+        let (draw, min_target) = (hash_to_unit(self.rng.next_u64()), self.min_latency_target());
+        if self.state.answer_time < UNLOADED_SHARE * min_target {
             return true;
         }
-        // Danger: where answers are lost or machines silent, what is long out is no queue.
-        let late = (QUEUE_TIMES * self.state.answer_time) as Micros;
-        let recent = || self.state.attempts_in_flight.values().filter(|o| now <= o.sent_at + late);
-        // Danger: those turned away come again, the largest last, until most of what is served is too late.
-        let takes = self.state.answer_time * (r.work / self.state.answer_work.max(1.0)).min(WORK_MOST);
-        let stale = r.waited_before + takes
-            > (self.settings.classes[r.value_class].latency_target as f64).max(self.state.answer_time);
-        let dearest = self.settings.classes.iter().map(|c| c.worth).fold(f64::MIN_POSITIVE, f64::max);
-        let rank = (self.settings.classes[r.value_class].worth / dearest).powf(WORTH_POWER);
-        // Danger: one build's queue must not turn away what another's machines have room for.
-        let open = |b: &&Build| self.exposure_cap(**b).is_none_or(|_| self.is_trial_turn(r, **b));
-        let free = self.state.subset.keys().filter(open).any(|b| {
-            let slots = FREE_SLOTS * self.state.ready_machines(*b).count() as f64
+        // Where answers are lost or machines silent, attempts that have been in flight for long are not part of a queue.
+        let queued_for = (QUEUED_ANSWER_TIMES * self.state.answer_time) as Micros;
+        let queued = || self.state.attempts_in_flight.values().filter(|a| now <= a.sent_at + queued_for);
+        // Refused clients retry, those with the largest requests last, until most of what is served is late. Requests
+        // that would be late are therefore shed before others.
+        let expected_time =
+            self.state.answer_time * (request.work / self.state.answer_work.max(1.0)).min(MAX_RELATIVE_WORK);
+        let late = request.waited_before + expected_time
+            > (self.settings.classes[request.value_class].latency_target as f64).max(self.state.answer_time);
+        let max_worth = self.settings.classes.iter().map(|c| c.worth).fold(f64::MIN_POSITIVE, f64::max);
+        let priority = (self.settings.classes[request.value_class].worth / max_worth).powf(WORTH_EXPONENT);
+        // The queue of one build must not cause the refusal of requests for which machines of another have room.
+        let open = |b: &&Build| self.exposure_cap(**b).is_none_or(|_| self.is_trial_turn(request, **b));
+        let has_free_slot = self.state.subset.keys().filter(open).any(|b| {
+            let slots = FREE_SLOTS_PER_MACHINE * self.state.ready_machines(*b).count() as f64
                 / f64::from(self.settings.fronts.max(1));
-            recent().filter(|o| o.build == *b).count() as f64 + lot < slots * rank
+            queued().filter(|a| a.build == *b).count() as f64 + draw < slots * priority
         });
-        // Danger: who turns all away learns no more: one that has served nothing lately takes what it can.
-        let held = (recent().count() + 1) as f64;
-        let idle = held < 2.0 && now > self.state.answered_at + ANSWER_TIME_WINDOW;
-        if free && !stale || idle {
+        // A front that refuses everything gets no new answer times: one that has served nothing recently admits a
+        // request when it has none queued.
+        let queue_length = (queued().count() + 1) as f64;
+        let idle = queue_length < 2.0 && now > self.state.answered_at + ANSWER_TIME_WINDOW;
+        if has_free_slot && !late || idle {
             return true;
         }
-        // Danger: a stalled front sees a second's answers at once; the best recent rate, fading, bridges it.
-        // One queue serves all: it is kept short enough for the tightest aim, or that class starves first.
-        let fit = if r.over_share || stale { FIT.1 } else { FIT.0 * rank } * tightest;
-        // Danger: of a hundred fronts each holds a request or two by chance, whatever the machines hold: what
-        // chance explains is no queue. There the answer time tells of the queue, and lots shed what is over.
-        let bears = fit * self.state.best_rate;
-        let chance = CHANCE * ((1.0 - 1.0 / f64::from(self.settings.fronts.max(1))) / bears.max(1.0)).sqrt();
-        held <= bears || held <= bears + chance && lot * self.state.answer_time < fit
+        // A front that has stalled sees the answers of a second at once, so the best recent rate, which decays, is used.
+        // One queue serves all classes: it is kept short enough for the shortest latency target, as that class would
+        // starve first.
+        let max_answer_time =
+            if request.over_share || late { LOW_PRIORITY_TARGET_SHARE } else { TARGET_SHARE * priority }
+                * min_target;
+        // Each of a hundred fronts has a request or two in flight by chance, whatever the load of the machines: what
+        // chance explains is no queue. In that range the answer time indicates the queue, and random draws shed the
+        // excess.
+        let bearable = max_answer_time * self.state.best_rate;
+        let by_chance =
+            CHANCE_FACTOR * ((1.0 - 1.0 / f64::from(self.settings.fronts.max(1))) / bearable.max(1.0)).sqrt();
+        queue_length <= bearable
+            || queue_length <= bearable + by_chance && draw * self.state.answer_time < max_answer_time
     }
 }
