--- a/crates/yarrowspoke-fleet/tests/common/mod.rs
+++ b/crates/yarrowspoke-fleet/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet in virtual time: pure cores, links that the test moves by hand.
+//! A fleet in virtual time: the state machines alone, with messages that the test delivers.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
     Member { name: name.into(), role, zone: zone.into(), address: None }
 }
 
-/// Three planners and so many fronts, in the zones a and b by turns.
+/// A fleet of three planners and `fronts` fronts, which alternate between the zones a and b.
 pub fn fleet(fronts: usize) -> Fleet {
     let mut members: Vec<Member> = (0..3).map(|n| member(&format!("p{n}"), Role::Planner, "")).collect();
     members.extend((0..fronts).map(|n| member(&format!("f{n}"), Role::Front, ["a", "b"][n % 2])));
@@ -43,18 +43,18 @@
     RolloutStatus { build, stage: 0, phase, cap }
 }
 
-/// Machines 1 to `n` on build 1, those in `but` left out.
+/// Machines 1 to `n` on build 1, except those in `but`.
 pub fn ready(n: u32, but: &[u32]) -> BTreeMap<u32, u16> {
     (1..=n).filter(|m| !but.contains(m)).map(|m| (m, 1)).collect()
 }
 
-/// A fleet whose messages the test carries.
+/// A fleet whose messages the test delivers.
 pub struct Rig {
     pub fleet: Fleet,
     pub now: Micros,
     pub fronts: Vec<FrontSide>,
     pub planners: Vec<Planner>,
-    /// Whether a front's messages reach a planner, and its answers come back.
+    /// Whether a front's messages reach a planner, and whether the answers come back.
     pub links: BTreeMap<(usize, usize), (bool, bool)>,
 }
 
@@ -79,7 +79,7 @@
         });
     }
 
-    /// A front sends all planners a heartbeat once.
+    /// Sends one heartbeat of a front to each planner.
     pub fn heartbeat(&mut self, front: usize) {
         for p in 0..self.planners.len() {
             let heartbeat = self.fronts[front].heartbeat(p, self.now);
@@ -92,11 +92,11 @@
         }
     }
 
-    /// Time goes on by so many renewals; fronts in `still` do nothing.
-    pub fn run(&mut self, renewals: usize, still: &[usize]) {
+    /// Advances the time by this many renewals; the fronts in `suspended` are suspended.
+    pub fn run(&mut self, renewals: usize, suspended: &[usize]) {
         for _ in 0..renewals {
             self.now += self.fleet.renew;
-            for front in (0..self.fronts.len()).filter(|f| !still.contains(f)) {
+            for front in (0..self.fronts.len()).filter(|f| !suspended.contains(f)) {
                 let now = self.now;
                 self.fronts[front].tick(now, 1_000_000 + now);
                 self.heartbeat(front);
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Discovery tells these fronts a list.
+    /// Delivers a list from discovery to these fronts.
     pub fn list(&mut self, fronts: impl IntoIterator<Item = usize>, index: u64, ready: &BTreeMap<u32, u16>) {
         let now = self.now;
         for f in fronts {
--- a/crates/yarrowspoke-fleet/tests/heartbeat_schedule.rs
+++ b/crates/yarrowspoke-fleet/tests/heartbeat_schedule.rs
@@ -1,4 +1,4 @@
-//! The pace by itself: what is due when, over all that may be asked of it.
+//! The schedule of heartbeats by itself: what is due when, for all inputs.
 
 use proptest::prelude::*;
 use yarrowspoke_fleet::heartbeat_schedule::{next_due, PlannerSchedule};
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn planners_are_heard_by_turns_one_in_every_renewal() {
+fn one_planner_receives_a_heartbeat_in_every_renewal() {
     for planners in [1usize, 3, 5] {
         let pace = RENEW * planners as u64;
         let mut schedules = vec![steady(0); planners];
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn where_one_does_not_answer_the_others_are_heard_in_every_renewal_still() {
+fn with_one_planner_down_another_receives_a_heartbeat_in_every_renewal() {
     let mut schedules = vec![steady(0); 5];
     schedules[3].responsive = false;
     let mut at = 0;
@@ -45,7 +45,7 @@
 
 proptest! {
     #[test]
-    fn nothing_comes_later_than_its_bound_or_sooner_than_a_renewal(
+    fn heartbeats_are_due_neither_after_their_bound_nor_within_a_renewal(
         lasts in prop::collection::vec((0u64..2_000_000, any::<bool>(), prop::option::of(0u64..400_000)), 1..7),
         paces in 1u64..8,
         draw in any::<u64>(),
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_many_fronts_owe_to_one_change_is_spread_over_a_renewal() {
+fn heartbeats_of_many_fronts_for_one_change_are_spread_over_a_renewal() {
     let hurried = [PlannerSchedule { last_sent_at: Some(0), urgent_since: Some(900_000), responsive: true }];
     let at = |draw: u64| next_due(&hurried, 0, (RENEW, 1_000_000), draw.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let mut all: Vec<u64> = (0..620).map(at).collect();
--- a/crates/yarrowspoke-fleet/tests/paced.rs
+++ b/crates/yarrowspoke-fleet/tests/paced.rs
@@ -1,4 +1,5 @@
-//! Fronts and planners with the form `paced`, in virtual time: what waits for the pace, what must not, and what passes by wire.
+//! Fronts and planners with the setting `paced`, in virtual time: what waits for the pace, what must not, and what is
+//! sent.
 
 mod common;
 
@@ -14,8 +15,8 @@
     decode_with_list, encode_with_list, Heartbeat, HeartbeatResponse, SCHEMA, SCHEMA_PACED,
 };
 
-/// Names a fault that this process is to have.
-const PLANTED: &str = "YARROWSPOKE_MUTANT";
+/// Environment variable that names the mutant to enable in this process.
+const MUTANT_VARIABLE: &str = "YARROWSPOKE_MUTANT";
 const PACE: u64 = 600 * MS;
 const STEP: u64 = 10 * MS;
 const MACHINES: u32 = 400;
@@ -25,9 +26,9 @@
     Fleet { lease: 2_000 * MS, paced: Some(form), ..fleet(fronts) }
 }
 
-/// What passed over the link of one front and one planner.
+/// What was sent over the link of one front and one planner.
 #[derive(Clone, Debug, Default)]
-struct Passed {
+struct Traffic {
     at: Vec<u64>,
     bytes: usize,
     whole_up: usize,
@@ -41,15 +42,15 @@
     fronts: Vec<FrontSide>,
     planners: Vec<Option<Planner>>,
     cut: Vec<(usize, usize)>,
-    passed: BTreeMap<(usize, usize), Passed>,
-    narrowed_at: BTreeMap<usize, u64>,
-    alone: u64,
+    traffic: BTreeMap<(usize, usize), Traffic>,
+    restricted_at: BTreeMap<usize, u64>,
+    not_open_steps: u64,
 }
 
 impl Site {
     fn new(fleet: Fleet) -> Self {
-        if let Ok(planted) = std::env::var(PLANTED) {
-            yarrowspoke_fleet::mutant::enable(&planted);
+        if let Ok(mutant) = std::env::var(MUTANT_VARIABLE) {
+            yarrowspoke_fleet::mutant::enable(&mutant);
         }
         let side = |(n, m): (usize, &yarrowspoke_fleet::settings::Member)| {
             FrontSide::new(fleet.clone(), &m.name, 100 + n as u64, version())
@@ -65,9 +66,9 @@
             fronts,
             planners,
             cut: vec![],
-            passed: BTreeMap::new(),
-            narrowed_at: BTreeMap::new(),
-            alone: 0,
+            traffic: BTreeMap::new(),
+            restricted_at: BTreeMap::new(),
+            not_open_steps: 0,
         }
     }
 
@@ -81,12 +82,12 @@
     fn exchange(&mut self, f: usize, p: usize) {
         let now = self.now;
         let mut heartbeat = self.fronts[f].heartbeat(p, now);
-        let passed = self.passed.entry((f, p)).or_default();
-        passed.at.push(now);
-        passed.whole_up += usize::from(heartbeat.ready.is_some());
-        passed.spans += heartbeat.reports.len();
+        let traffic = self.traffic.entry((f, p)).or_default();
+        traffic.at.push(now);
+        traffic.whole_up += usize::from(heartbeat.ready.is_some());
+        traffic.spans += heartbeat.reports.len();
         let bytes = encode_with_list(&mut heartbeat);
-        passed.bytes += bytes.len();
+        traffic.bytes += bytes.len();
         let cut = self.cut.contains(&(f, p));
         let answer = self.planners[p].as_mut().filter(|_| !cut).and_then(|planner| {
             let heartbeat = decode_with_list::<Heartbeat>(&bytes).unwrap();
@@ -94,37 +95,38 @@
         });
         match answer {
             Some(bytes) => {
-                passed.bytes += bytes.len();
+                traffic.bytes += bytes.len();
                 let answer = decode_with_list::<HeartbeatResponse>(&bytes).unwrap();
-                passed.whole_down += usize::from(answer.ready.is_some());
+                traffic.whole_down += usize::from(answer.ready.is_some());
                 if self.fronts[f].heartbeat_answered(p, now, now, answer).restricted {
-                    self.narrowed_at.insert(f, now);
+                    self.restricted_at.insert(f, now);
                 }
             }
             None => self.fronts[f].heartbeat_failed(p, now),
         }
     }
 
-    /// Time goes on; heartbeats leave when they are due, spans close at ticks, planners pull from each other.
+    /// Advances the time: heartbeats are sent when due, spans close at ticks, and planners pull from each other.
     fn run(&mut self, time: u64) {
         let end = self.now + time;
         while self.now < end {
             self.now += STEP;
             let now = self.now;
-            // They were not started in one moment, and so have their turns at different planners.
+            // The fronts start at different times, so their turns fall on different planners.
             for f in (0..self.fronts.len()).filter(|f| now > 130 * MS * *f as u64) {
                 if now.is_multiple_of(self.fleet.renew) {
                     self.fronts[f].recorder().record_attempt(1, 1);
                     self.fronts[f].tick(now, 1_000_000 + now);
                 }
                 for p in 0..self.planners.len() {
-                    // As the program looks: in each part of a renewal, so that what is found then still comes within it.
-                    let looks = (now / STEP).is_multiple_of(5);
-                    if looks && self.fronts[f].next_heartbeat_at(p, now) <= now {
+                    // The program checks in each part of a renewal, so that a change found then still goes out within
+                    // the renewal.
+                    let checks = (now / STEP).is_multiple_of(5);
+                    if checks && self.fronts[f].next_heartbeat_at(p, now) <= now {
                         self.exchange(f, p);
                     }
                 }
-                self.alone += u64::from(self.fronts[f].stance(now) != Stance::Open);
+                self.not_open_steps += u64::from(self.fronts[f].stance(now) != Stance::Open);
             }
             if now.is_multiple_of(500 * MS) {
                 self.pull();
@@ -147,8 +149,8 @@
         }
     }
 
-    fn sum(&self, of: impl Fn(&Passed) -> usize) -> usize {
-        self.passed.values().map(of).sum()
+    fn sum(&self, of: impl Fn(&Traffic) -> usize) -> usize {
+        self.traffic.values().map(of).sum()
     }
 
     fn settled(fronts: usize) -> Self {
@@ -160,27 +162,27 @@
         let all = 0..site.fronts.len();
         site.list(all, 1, &[]);
         site.run(6_000 * MS);
-        site.passed.clear();
+        site.traffic.clear();
         site
     }
 }
 
 #[test]
-fn at_rest_heartbeats_come_at_the_pace_by_turns_and_no_lease_lapses() {
+fn idle_heartbeats_are_paced_in_turns_and_no_lease_lapses() {
     let mut site = Site::settled(4);
-    site.alone = 0;
+    site.not_open_steps = 0;
     site.run(12_000 * MS);
-    assert_eq!(site.alone, 0, "a lease lapsed while planners answered");
-    for ((f, p), passed) in &site.passed {
-        assert!((18..=22).contains(&passed.at.len()), "f{f} p{p}: {}", passed.at.len());
-        assert!(passed.at.windows(2).all(|w| w[1] - w[0] <= PACE + 50 * MS));
-        assert_eq!((passed.whole_up, passed.whole_down), (0, 0));
+    assert_eq!(site.not_open_steps, 0, "a lease lapsed while planners answered");
+    for ((f, p), traffic) in &site.traffic {
+        assert!((18..=22).contains(&traffic.at.len()), "f{f} p{p}: {}", traffic.at.len());
+        assert!(traffic.at.windows(2).all(|w| w[1] - w[0] <= PACE + 50 * MS));
+        assert_eq!((traffic.whole_up, traffic.whole_down), (0, 0));
     }
-    let mut of_one: Vec<u64> = (0..3).flat_map(|p| site.passed[&(0, p)].at.clone()).collect();
+    let mut of_one: Vec<u64> = (0..3).flat_map(|p| site.traffic[&(0, p)].at.clone()).collect();
     of_one.sort_unstable();
     assert!(
         of_one.windows(2).all(|w| w[1] - w[0] <= site.fleet.renew + 50 * MS),
-        "some planner in every renewal"
+        "a planner receives a heartbeat in every renewal"
     );
     let mut plain = Site::settled_by(Fleet { paced: None, ..paced(4) });
     plain.run(12_000 * MS);
@@ -189,27 +191,27 @@
 }
 
 #[test]
-fn a_change_is_told_to_every_planner_within_a_renewal() {
+fn a_change_reaches_every_planner_within_a_renewal() {
     for at in [0, 70, 130, 210, 370, 550].map(|ms| ms * MS) {
         let mut site = Site::settled(2);
         site.run(at);
-        site.passed.clear();
+        site.traffic.clear();
         let changed = site.now;
         site.list([0], 2, &[7]);
         site.run(250 * MS);
         for p in 0..3 {
-            let first = site.passed[&(0, p)].at.iter().find(|t| **t >= changed).copied();
+            let first = site.traffic[&(0, p)].at.iter().find(|t| **t >= changed).copied();
             assert!(
                 first.is_some_and(|t| t - changed <= site.fleet.renew + 50 * MS),
                 "p{p}: {first:?} after {changed}"
             );
         }
-        assert_eq!(site.sum(|p| p.whole_up + p.whole_down), 0, "a drain is a delta");
+        assert_eq!(site.sum(|p| p.whole_up + p.whole_down), 0, "a drain is sent as a delta");
     }
 }
 
 #[test]
-fn a_drain_told_to_one_front_reaches_one_that_is_not_told_within_two_renewals() {
+fn a_drain_known_to_one_front_reaches_the_others_within_two_renewals() {
     for at in [0, 70, 130, 210, 370, 550].map(|ms| ms * MS) {
         let mut site = Site::settled(3);
         site.run(at);
@@ -218,27 +220,27 @@
         site.run(1_000 * MS);
         for f in [1, 2] {
             assert!(site.fronts[f].excludes(site.now, 7, 1) && !site.fronts[f].excludes(site.now, 8, 1));
-            let took = site.narrowed_at[&f] - changed;
+            let took = site.restricted_at[&f] - changed;
             assert!(took <= 2 * site.fleet.renew + 100 * MS, "f{f} after {} ms", took / MS);
         }
     }
 }
 
 #[test]
-fn a_planner_back_empty_asks_one_front_for_the_whole_list_and_the_others_for_nothing() {
+fn a_planner_without_state_asks_only_one_front_for_the_whole_list() {
     let mut site = Site::settled(6);
     site.planners[1] = None;
     site.run(1_500 * MS);
-    site.passed.clear();
+    site.traffic.clear();
     site.planners[1] = Some(Planner::new(site.fleet.clone(), "p1", 2, site.now, ReportLog::default()));
     site.run(4_000 * MS);
     assert_eq!(
         site.sum(|p| p.whole_up),
         1,
         "{:?}",
-        site.passed.iter().map(|p| (p.0, p.1.whole_up)).collect::<Vec<_>>()
+        site.traffic.iter().map(|p| (p.0, p.1.whole_up)).collect::<Vec<_>>()
     );
-    site.passed.clear();
+    site.traffic.clear();
     site.list(0..6, 2, &[9]);
     site.run(1_000 * MS);
     site.list([0], 3, &[9, 10]);
@@ -248,35 +250,35 @@
 }
 
 #[test]
-fn all_planners_back_empty_have_the_list_again_and_a_straggler_gets_it_whole_once() {
+fn planners_without_state_get_the_list_and_a_straggler_gets_it_whole_once() {
     let mut site = Site::settled(4);
     site.list(0..3, 2, &[5]);
-    // The last one has heard nothing since its start, by any delta.
+    // The last front has received nothing since its start, so no delta fits it.
     let old: Vec<String> = site.fleet.planners().map(|p| p.name.clone()).collect();
     for (p, name) in old.iter().enumerate() {
         site.planners[p] = Some(Planner::new(site.fleet.clone(), name, 2, site.now, ReportLog::default()));
     }
-    site.passed.clear();
+    site.traffic.clear();
     site.run(3_000 * MS);
     assert!(site.fronts[3].excludes(site.now, 5, 1));
-    let down: usize = (0..3).map(|p| site.passed.get(&(3, p)).map_or(0, |p| p.whole_down)).sum();
+    let down: usize = (0..3).map(|p| site.traffic.get(&(3, p)).map_or(0, |p| p.whole_down)).sum();
     assert!(down <= 1, "{down} whole lists for one front");
     assert!(site.sum(|p| p.whole_up) <= 6, "{}", site.sum(|p| p.whole_up));
 }
 
 #[test]
-fn spans_go_to_one_planner_and_all_have_them_also_where_it_dies() {
+fn spans_go_to_one_planner_and_reach_all_even_if_it_dies() {
     let mut site = Site::settled(6);
     site.run(6_000 * MS);
-    let carried = |site: &Site, f: usize| -> Vec<usize> {
-        (0..3).filter(|p| site.passed.get(&(f, *p)).is_some_and(|p| p.spans > 0)).collect()
+    let planners_with_spans = |site: &Site, f: usize| -> Vec<usize> {
+        (0..3).filter(|p| site.traffic.get(&(f, *p)).is_some_and(|p| p.spans > 0)).collect()
     };
-    let homes: Vec<Vec<usize>> = (0..6).map(|f| carried(&site, f)).collect();
+    let homes: Vec<Vec<usize>> = (0..6).map(|f| planners_with_spans(&site, f)).collect();
     assert!(homes.iter().all(|h| h.len() == 1), "{homes:?}");
     let spread: std::collections::BTreeSet<usize> = homes.iter().flatten().copied().collect();
-    assert!(spread.len() > 1, "one planner is everybody's home: {homes:?}");
+    assert!(spread.len() > 1, "one planner is the home of all fronts: {homes:?}");
     let home = homes[0][0];
-    // It dies with what it alone had, and stays away.
+    // The home planner dies with spans that only it had, and stays away.
     site.planners[home] = None;
     site.run(6_000 * MS);
     for (p, planner) in site.planners.iter().enumerate().filter(|p| p.0 != home) {
@@ -287,23 +289,23 @@
             "p{p}: {held} of {closed}"
         );
     }
-    // A front cut from its home alone reports to the next.
+    // A front that is cut off from its home planner alone reports to the next one.
     let mut site = Site::settled(6);
     site.cut.push((0, home));
-    site.passed.clear();
+    site.traffic.clear();
     site.run(3_000 * MS);
-    assert!(carried(&site, 0).iter().any(|p| *p != home));
+    assert!(planners_with_spans(&site, 0).iter().any(|p| *p != home));
 }
 
 #[test]
-fn spans_that_lie_at_a_home_nobody_reaches_are_sent_to_the_others() {
+fn spans_at_an_unreachable_home_planner_are_sent_to_the_others() {
     let mut site = Site::settled(1);
     let home = (0..3).find(|p| {
         site.run(1_500 * MS);
-        site.passed.get(&(0, *p)).is_some_and(|p| p.spans > 0)
+        site.traffic.get(&(0, *p)).is_some_and(|p| p.spans > 0)
     });
     let home = home.unwrap();
-    // It answers, and no planner pulls from it.
+    // The home planner answers, and no planner pulls from it.
     let before: Vec<u64> =
         site.planners.iter().map(|p| p.as_ref().unwrap().report_log.contiguous_through("f0", 100)).collect();
     for _ in 0..600 {
@@ -324,36 +326,36 @@
     }
 }
 
-/// A planner that is back with what of its book was on disk.
-fn back(site: &Site, planner: usize, book: &ReportLog) -> Option<Planner> {
+/// Restarts a planner with what of its log was on disk.
+fn restarted(site: &Site, planner: usize, log: &ReportLog) -> Option<Planner> {
     let mut read = ReportLog::default();
-    for (front, incarnation, report) in book.missing_from(&[], u64::MAX) {
+    for (front, incarnation, report) in log.missing_from(&[], u64::MAX) {
         assert!(read.insert(&front, incarnation, report).unwrap());
     }
     Some(Planner::new(site.fleet.clone(), &format!("p{planner}"), 2, site.now, read))
 }
 
 #[test]
-fn planners_that_lost_what_they_acknowledged_are_sent_what_comes_after_it_once() {
+fn planners_that_lost_acknowledged_spans_get_the_later_ones_once() {
     let mut site = Site::settled(4);
     site.run(6_000 * MS);
     let flushed: Vec<ReportLog> =
         site.planners.iter().map(|p| p.as_ref().unwrap().report_log.clone()).collect();
     site.run(6_000 * MS);
-    site.passed.clear();
+    site.traffic.clear();
     site.run(20_000 * MS);
     let (spans, bytes) = (site.sum(|p| p.spans), site.sum(|p| p.bytes));
-    for (p, book) in flushed.iter().enumerate() {
-        site.planners[p] = back(&site, p, book);
+    for (p, log) in flushed.iter().enumerate() {
+        site.planners[p] = restarted(&site, p, log);
     }
-    // As many spans as one heartbeat holds, and again: nothing of it may heap up.
+    // Twice as many spans as one heartbeat holds: nothing may pile up.
     site.run(80_000 * MS);
-    site.passed.clear();
+    site.traffic.clear();
     site.run(20_000 * MS);
     let after = (site.sum(|p| p.spans), site.sum(|p| p.bytes));
     assert!(
         after.0 <= spans + spans / 5 && after.1 <= bytes + bytes / 5,
-        "{} spans and {} bytes in as long a time, {spans} and {bytes} before",
+        "{} spans and {} bytes in the same time, {spans} and {bytes} before",
         after.0,
         after.1
     );
@@ -365,27 +367,27 @@
             assert!(closed - newest <= 6, "{name}: {newest} of {closed}");
             let gaps = planner.report_log.gaps(&name, 100 + f as u64);
             let lost = flushed.iter().map(|b| b.contiguous_through(&name, 100 + f as u64)).max().unwrap();
-            assert_eq!(gaps[0].0, lost + 1, "{name}: what was lost is shown: {gaps:?}");
+            assert_eq!(gaps[0].0, lost + 1, "{name}: lost spans are shown: {gaps:?}");
             assert!(gaps[1..].iter().all(|g| g.1 == closed || g.0 > closed - 6), "{name}: {gaps:?}");
         }
     }
 }
 
 #[test]
-fn a_planner_that_fails_or_a_start_is_met_at_the_renewal() {
+fn after_a_start_or_a_failure_heartbeats_come_at_every_renewal() {
     let mut site = Site::new(paced(1));
     site.run(1_000 * MS);
-    assert!((4..=6).contains(&site.passed[&(0, 0)].at.len()), "{:?}", site.passed[&(0, 0)].at);
+    assert!((4..=6).contains(&site.traffic[&(0, 0)].at.len()), "{:?}", site.traffic[&(0, 0)].at);
     let mut site = Site::settled(1);
     site.cut.push((0, 1));
     site.run(3_000 * MS);
-    // One of three: the next that failed would cost the lease.
-    assert!((0..3).all(|p| site.passed[&(0, p)].at.len() >= 11), "{:?}", site.passed);
+    // One of three planners fails: the next failure would cost the lease.
+    assert!((0..3).all(|p| site.traffic[&(0, p)].at.len() >= 11), "{:?}", site.traffic);
     assert_eq!(site.fronts[0].stance(site.now), Stance::Open);
 }
 
 #[test]
-fn without_the_form_every_byte_is_as_before_and_one_planner_serves_both() {
+fn without_paced_the_bytes_are_unchanged_and_one_planner_serves_both() {
     let plain = Fleet { paced: None, ..paced(2) };
     let mut planner = Planner::new(paced(2), "p0", 1, 0, ReportLog::default());
     let mut old = FrontSide::new(plain, "f0", 100, version());
@@ -400,25 +402,25 @@
             old.list_received((now, now), (1, 7), ListSource::Discovery, ready(MACHINES, &[]));
             new.list_received((now, now), (1, 7), ListSource::Discovery, ready(MACHINES, &[]));
         }
-        for (front, spoken) in [(&mut old, SCHEMA), (&mut new, SCHEMA_PACED)] {
+        for (front, expected_schema) in [(&mut old, SCHEMA), (&mut new, SCHEMA_PACED)] {
             front.tick(now, now);
             let mut heartbeat = front.heartbeat(0, now);
             let bytes = encode_with_list(&mut heartbeat);
-            assert_eq!(schema(&bytes), spoken);
-            if spoken == SCHEMA {
+            assert_eq!(schema(&bytes), expected_schema);
+            if expected_schema == SCHEMA {
                 assert_eq!(bytes, yarrowspoke_fleet::wire::encode(&heartbeat));
             }
             let mut answer = planner.handle_heartbeat(now, decode_with_list(&bytes).unwrap()).unwrap();
             let bytes = encode_with_list(&mut answer);
-            assert_eq!(schema(&bytes), spoken, "it is answered in what it speaks");
+            assert_eq!(schema(&bytes), expected_schema, "the answer uses the schema of the heartbeat");
             front.heartbeat_answered(0, now, now, decode_with_list(&bytes).unwrap());
         }
     }
-    assert!(new.excludes(1_600 * MS, 7, 1), "a drain that an old front told reaches a new one");
+    assert!(new.excludes(1_600 * MS, 7, 1), "a drain reported by an old front reaches a new one");
 }
 
 #[test]
-fn news_that_take_away_reach_a_front_that_was_not_told() {
+fn a_narrower_rollout_reaches_a_front_whose_source_did_not_send_it() {
     let mut site = Site::settled(3);
     let at = (site.now, site.now);
     (0..3).for_each(|f| site.fronts[f].rollout_received(at, rollout(2, 0, 500_000)));
@@ -428,34 +430,34 @@
     site.run(1_000 * MS);
     for f in [1, 2] {
         assert_eq!(site.fronts[f].restricting_rollout(), Some(rollout(2, 2, 0)), "f{f}");
-        assert!(site.narrowed_at[&f] - changed <= 2 * site.fleet.renew + 100 * MS);
+        assert!(site.restricted_at[&f] - changed <= 2 * site.fleet.renew + 100 * MS);
     }
 }
 
 #[test]
-fn each_planted_fault_is_caught() {
+fn each_mutant_is_caught() {
     let program = std::env::current_exe().unwrap();
-    let passes = |planted: &str, test: &str| {
+    let succeeds = |mutant: &str, test: &str| {
         let mut run = std::process::Command::new(&program);
-        let run = run.args(["--exact", test]).env(PLANTED, planted).output().unwrap();
-        assert!(String::from_utf8_lossy(&run.stdout).contains("running 1 test"), "{test} is no test");
+        let run = run.args(["--exact", test]).env(MUTANT_VARIABLE, mutant).output().unwrap();
+        assert!(String::from_utf8_lossy(&run.stdout).contains("running 1 test"), "{test} does not exist");
         run.status.success()
     };
-    for (planted, test) in [
-        ("delta-on-any-base", "a_front_whose_own_list_no_planner_ever_had_gets_one_whole_and_then_deltas"),
-        ("change-waits-for-pace", "a_change_is_told_to_every_planner_within_a_renewal"),
-        ("spans-to-nobody", "spans_go_to_one_planner_and_all_have_them_also_where_it_dies"),
-        ("spans-to-nobody", "spans_that_lie_at_a_home_nobody_reaches_are_sent_to_the_others"),
+    for (mutant, test) in [
+        ("delta-on-any-base", "a_front_with_an_unknown_list_gets_one_whole_list_and_then_deltas"),
+        ("change-waits-for-pace", "a_change_reaches_every_planner_within_a_renewal"),
+        ("spans-to-nobody", "spans_go_to_one_planner_and_reach_all_even_if_it_dies"),
+        ("spans-to-nobody", "spans_at_an_unreachable_home_planner_are_sent_to_the_others"),
     ] {
-        assert!(passes("", test), "{test} fails by itself");
-        assert!(!passes(planted, test), "{planted} is not caught by {test}");
+        assert!(succeeds("", test), "{test} fails without a mutant");
+        assert!(!succeeds(mutant, test), "{mutant} is not caught by {test}");
     }
 }
 
 #[test]
-fn a_base_that_the_receiver_has_not_is_refused() {
+fn a_delta_on_a_base_that_the_receiver_lacks_is_rejected() {
     let mut site = Site::settled(3);
-    // The last front misses two changes; the planner that comes back empty misses all.
+    // The last front misses two changes; the planner that restarts without state misses all.
     site.planners[2] = None;
     site.list(0..2, 2, &[5]);
     site.run(500 * MS);
@@ -466,58 +468,59 @@
     site.list(0..2, 4, &[6, 7]);
     site.cut.clear();
     site.run(3_000 * MS);
-    let left_out: Vec<u32> = (1..=MACHINES).filter(|m| site.fronts[2].excludes(site.now, *m, 1)).collect();
-    assert_eq!(left_out, [6, 7]);
+    let excluded: Vec<u32> = (1..=MACHINES).filter(|m| site.fronts[2].excludes(site.now, *m, 1)).collect();
+    assert_eq!(excluded, [6, 7]);
     for planner in site.planners.iter_mut().flatten() {
         let pull = yarrowspoke_fleet::wire::Pull { planner: "p0".into(), held: vec![], known_list: (0, 0) };
         let held = planner.answer_pull(site.now, &pull).unwrap().ready.unwrap();
-        let meant: Vec<(u32, u16)> = ready(MACHINES, &[6, 7]).into_iter().collect();
-        assert_eq!((held.index, &held.machines), (4, &meant));
+        let expected: Vec<(u32, u16)> = ready(MACHINES, &[6, 7]).into_iter().collect();
+        assert_eq!((held.index, &held.machines), (4, &expected));
     }
 }
 
 #[test]
-fn a_front_whose_own_list_no_planner_ever_had_gets_one_whole_and_then_deltas() {
+fn a_front_with_an_unknown_list_gets_one_whole_list_and_then_deltas() {
     let mut site = Site::settled(3);
     site.cut.extend([(2, 0), (2, 1), (2, 2)]);
     site.list(0..2, 3, &[9]);
-    // Discovery told this one an index that the others skipped, and then nothing more.
+    // Discovery delivered an index to this front that the others skipped, and then nothing more.
     site.list([2], 2, &[8]);
     site.run(500 * MS);
     site.cut.clear();
     site.run(2_000 * MS);
     assert!(site.fronts[2].excludes(site.now, 9, 1));
-    let whole =
-        |site: &Site| -> usize { (0..3).map(|p| site.passed.get(&(2, p)).map_or(0, |p| p.whole_down)).sum() };
+    let whole = |site: &Site| -> usize {
+        (0..3).map(|p| site.traffic.get(&(2, p)).map_or(0, |p| p.whole_down)).sum()
+    };
     let first = whole(&site);
     assert!(first >= 1);
     for index in 4..8u32 {
         let changed = site.now;
         site.list(0..2, u64::from(index), &[9, 10 + index]);
         site.run(800 * MS);
-        let left_out = |m: u32| site.fronts[2].excludes(site.now, m, 1);
-        assert!(left_out(10 + index) && left_out(9) && !left_out(8) && (index == 4 || !left_out(9 + index)));
-        assert!(site.narrowed_at[&2] - changed <= 2 * site.fleet.renew + 100 * MS);
+        let excluded = |m: u32| site.fronts[2].excludes(site.now, m, 1);
+        assert!(excluded(10 + index) && excluded(9) && !excluded(8) && (index == 4 || !excluded(9 + index)));
+        assert!(site.restricted_at[&2] - changed <= 2 * site.fleet.renew + 100 * MS);
     }
-    assert_eq!(whole(&site), first, "what planners brought is a base too");
+    assert_eq!(whole(&site), first, "a list from planners is a base too");
 }
 
 #[test]
-fn a_front_that_hears_nothing_does_not_keep_others_from_being_asked() {
+fn a_front_without_answers_does_not_block_queries_to_others() {
     let mut planner = Planner::new(paced(2), "p0", 1, 0, ReportLog::default());
     let front = |n: usize| FrontSide::new(paced(2), &format!("f{n}"), 100, version());
-    let (mut deaf, mut other) = (front(0), front(1));
-    for side in [&mut deaf, &mut other] {
+    let (mut unanswered, mut other) = (front(0), front(1));
+    for side in [&mut unanswered, &mut other] {
         side.list_received((1, 1), (1, 7), ListSource::Discovery, ready(MACHINES, &[]));
     }
-    let mut asked = |side: &mut FrontSide, at: u64| {
+    let mut is_asked = |side: &mut FrontSide, at: u64| {
         let answer = planner.handle_heartbeat(at, side.heartbeat(0, at)).unwrap();
         answer.list.unwrap().wants_whole
     };
-    assert!(asked(&mut deaf, 200 * MS));
-    assert!(!asked(&mut other, 300 * MS), "one at a time");
-    // It is heard again and again, and its answers are lost.
-    assert!(asked(&mut deaf, 400 * MS) && asked(&mut deaf, 600 * MS));
-    assert!(asked(&mut other, 700 * MS));
-    assert!(!asked(&mut deaf, 800 * MS));
+    assert!(is_asked(&mut unanswered, 200 * MS));
+    assert!(!is_asked(&mut other, 300 * MS), "only one front is asked at a time");
+    // The planner keeps receiving this front's heartbeats, and its answers are lost.
+    assert!(is_asked(&mut unanswered, 400 * MS) && is_asked(&mut unanswered, 600 * MS));
+    assert!(is_asked(&mut other, 700 * MS));
+    assert!(!is_asked(&mut unanswered, 800 * MS));
 }
--- a/crates/yarrowspoke-fleet/tests/record.rs
+++ b/crates/yarrowspoke-fleet/tests/record.rs
@@ -1,4 +1,4 @@
-//! The record: what is noted, kept, merged and shown, in any order and with holes.
+//! The record: what is recorded, retained, merged and shown, in any order and with gaps.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use yarrowspoke_fleet::version::{List, ListSource, Version, VersionOrder};
 use yarrowspoke_fleet::wire::{decode, encode, Heartbeat, MessageError, SCHEMA};
 
-/// A recorder that keeps so many, run through so many spans of one attempt each.
+/// A recorder that retains `keeps` reports, after `spans` spans of one attempt each.
 fn recorded(spans: u64, keeps: usize) -> Recorder {
     let mut recorder = Recorder::new(0, version(), keeps);
     for n in 1..=spans {
@@ -25,33 +25,33 @@
 }
 
 fn filled(reports: &[Report]) -> ReportLog {
-    let mut book = ReportLog::default();
-    reports.iter().for_each(|r| drop(book.insert("f0", 1, r.clone())));
-    book
+    let mut log = ReportLog::default();
+    reports.iter().for_each(|r| drop(log.insert("f0", 1, r.clone())));
+    log
 }
 
 proptest! {
     #[test]
-    fn any_order_repeats_and_splits_give_one_record(
+    fn merging_in_any_order_with_repeats_gives_one_record(
         spans in 1u64..60, keeps in 2usize..40, shuffled in prop::collection::vec((0usize..100, 0usize..3), 0..200)
     ) {
-        // One planner has them one by one, another as they were joined for want of room.
+        // One planner has the spans separately, another has them as they were joined for lack of space.
         let mut all = recorded(spans, 1_000).reports_after(0, 1_000);
         all.extend(recorded(spans, keeps).reports_after(0, 1_000));
-        let mut books = [ReportLog::default(), ReportLog::default(), ReportLog::default()];
+        let mut logs = [ReportLog::default(), ReportLog::default(), ReportLog::default()];
         for (n, b) in shuffled {
-            let _ = books[b].insert("f0", 1, all[n % all.len()].clone());
+            let _ = logs[b].insert("f0", 1, all[n % all.len()].clone());
         }
         let mut one = ReportLog::default();
         for b in [2, 0, 1, 0] {
-            one.merge(&books[b]);
+            one.merge(&logs[b]);
         }
-        let mut two = books[1].clone();
-        two.merge(&books[2]);
-        two.merge(&books[0]);
-        for book in [&one, &two] {
-            // Nothing is counted twice, and what is not there is a gap.
-            let view = book.view("f0", 1);
+        let mut two = logs[1].clone();
+        two.merge(&logs[2]);
+        two.merge(&logs[0]);
+        for log in [&one, &two] {
+            // Nothing is counted twice, and whatever is not there is a gap.
+            let view = log.view("f0", 1);
             let covered: u64 = view.iter().map(|r| r.last - r.first + 1).sum();
             prop_assert_eq!(u64::from(attempts(view.iter().copied())), covered);
             prop_assert!(view.windows(2).all(|p| p[0].last < p[1].first));
@@ -63,66 +63,70 @@
 }
 
 #[test]
-fn a_front_out_of_reach_keeps_bounded_memory_and_drops_nothing_in_silence() {
+fn an_unreachable_front_uses_bounded_memory_and_drops_nothing_silently() {
     let recorder = recorded(5_000, 64);
     let kept = recorder.reports_after(0, 10_000);
     assert_eq!((recorder.retained(), attempts(&kept)), (64, 5_000));
-    assert!(kept[0].last > kept[0].first, "it says that it was joined");
+    assert!(kept[0].last > kept[0].first, "the report shows that spans were joined");
     assert!(kept.windows(2).all(|p| p[0].last + 1 == p[1].first && p[0].link == p[1].before));
-    let book = filled(&kept);
-    assert!(book.gaps("f0", 1).is_empty() && book.contradictions().is_empty());
+    let log = filled(&kept);
+    assert!(log.gaps("f0", 1).is_empty() && log.contradictions().is_empty());
 }
 
 #[test]
-fn lost_altered_and_doubled_reports_show() {
+fn lost_altered_and_duplicate_reports_are_shown() {
     let reports = recorded(10, 100).reports_after(0, 100);
-    let mut book = filled(&[&reports[..4], &reports[6..]].concat());
-    book.record_head("f0", 1, 12);
-    assert_eq!(book.gaps("f0", 1), [(5, 6), (11, 12)]);
-    assert_eq!(book.contiguous_through("f0", 1), 4);
-    let unknown = audit(&book, &AuditQuery::default()).incarnations[0].unknown.clone();
-    // Two gaps, and the stretch behind the last span: each with the end of what is known before it.
+    let mut log = filled(&[&reports[..4], &reports[6..]].concat());
+    log.record_head("f0", 1, 12);
+    assert_eq!(log.gaps("f0", 1), [(5, 6), (11, 12)]);
+    assert_eq!(log.contiguous_through("f0", 1), 4);
+    let unknown = audit(&log, &AuditQuery::default()).incarnations[0].unknown.clone();
+    // Two gaps, and the interval after the last span: each with the end of what is known before it.
     assert_eq!(unknown.iter().map(|u| u.after).collect::<Vec<_>>(), [4, 10, 10]);
     assert_eq!((unknown[0].from, unknown[0].until_wall), (4_000, Some(5_000 + 6_000)));
 
     let mut altered = reports[5].clone();
     altered.span.votes += 1;
-    assert!(matches!(book.insert("f0", 1, altered.clone()), Err(MessageError::InvalidReport(6, _))));
+    assert!(matches!(log.insert("f0", 1, altered.clone()), Err(MessageError::InvalidReport(6, _))));
     altered.link = yarrowspoke_fleet::span::link(&altered.before, 6, &altered.span);
-    assert!(book.insert("f0", 1, altered).unwrap());
-    assert!(!book.insert("f0", 1, reports[5].clone()).unwrap(), "another one under its number is kept out");
-    let said: Vec<String> = book.contradictions().into_iter().map(|c| c.what).collect();
+    assert!(log.insert("f0", 1, altered).unwrap());
     assert!(
-        said.iter().any(|w| w.contains("two reports")) && said.iter().any(|w| w.contains("continue")),
-        "{said:?}"
+        !log.insert("f0", 1, reports[5].clone()).unwrap(),
+        "another report under the same number is not inserted"
+    );
+    let descriptions: Vec<String> = log.contradictions().into_iter().map(|c| c.what).collect();
+    assert!(
+        descriptions.iter().any(|w| w.contains("two reports"))
+            && descriptions.iter().any(|w| w.contains("continue")),
+        "{descriptions:?}"
     );
 }
 
 #[test]
-fn a_filter_does_not_make_what_is_unknown_look_fine() {
+fn a_filter_does_not_hide_unknown_intervals() {
     let reports = recorded(10, 100).reports_after(0, 100);
-    let book = filled(&[&reports[..2], &reports[5..]].concat());
-    let drawn = audit(&book, &AuditQuery { index: Some(99), ..AuditQuery::default() });
+    let log = filled(&[&reports[..2], &reports[5..]].concat());
+    let drawn = audit(&log, &AuditQuery { index: Some(99), ..AuditQuery::default() });
     assert!(drawn.incarnations[0].rows.is_empty() && drawn.incarnations[0].unknown.len() == 2);
-    let drawn = audit(&book, &AuditQuery { from: Some(13_500), ..AuditQuery::default() });
+    let drawn = audit(&log, &AuditQuery { from: Some(13_500), ..AuditQuery::default() });
     assert_eq!(drawn.incarnations[0].rows.iter().map(|r| r.numbers.0).collect::<Vec<_>>(), [9, 10]);
 }
 
 #[test]
-fn what_is_given_up_for_age_is_no_gap_and_the_rest_stays() {
+fn pruned_reports_are_not_gaps_and_the_rest_stays() {
     let reports = recorded(10, 100).reports_after(0, 100);
-    let mut book = filled(&reports);
-    let gone = book.prune(5_000 + 3_500, u64::MAX);
-    assert_eq!(gone.iter().map(|g| g.2).collect::<Vec<_>>(), [1, 2, 3]);
-    assert!(book.gaps("f0", 1).is_empty() && book.view("f0", 1)[0].first == 4);
-    assert!(!book.insert("f0", 1, reports[0].clone()).unwrap(), "it does not come back from another planner");
-    let half = book.bytes() / 2;
-    book.prune(0, half);
-    assert!(book.bytes() <= half && book.contiguous_through("f0", 1) == 10);
+    let mut log = filled(&reports);
+    let pruned = log.prune(5_000 + 3_500, u64::MAX);
+    assert_eq!(pruned.iter().map(|g| g.2).collect::<Vec<_>>(), [1, 2, 3]);
+    assert!(log.gaps("f0", 1).is_empty() && log.view("f0", 1)[0].first == 4);
+    assert!(!log.insert("f0", 1, reports[0].clone()).unwrap(), "a pruned report is not inserted again");
+    let half = log.bytes() / 2;
+    log.prune(0, half);
+    assert!(log.bytes() <= half && log.contiguous_through("f0", 1) == 10);
 }
 
 #[test]
-fn another_planner_gets_just_what_it_lacks() {
+fn another_planner_gets_exactly_what_it_lacks() {
     let reports = recorded(20, 100).reports_after(0, 100);
     let (full, mut part) = (filled(&reports), filled(&[&reports[..3], &reports[8..12]].concat()));
     for (front, incarnation, report) in full.missing_from(&part.held_ranges(), u64::MAX) {
@@ -133,7 +137,7 @@
 }
 
 #[test]
-fn versions_compare_part_by_part_and_not_comparable_is_an_answer() {
+fn versions_compare_part_by_part_and_may_be_not_comparable() {
     let list = |index, epoch, digest| List { index, source: ListSource::Discovery, epoch, digest };
     assert_eq!(list(5, 0, 1).compare(&list(4, 0, 1)), VersionOrder::Newer);
     assert_eq!(list(5, 0, 1).compare(&list(5, 0, 2)), VersionOrder::NotComparable);
@@ -155,7 +159,7 @@
 }
 
 #[test]
-fn what_cannot_be_is_refused_by_name_and_nothing_of_it_is_believed() {
+fn invalid_heartbeats_are_rejected_by_reason_and_nothing_of_them_is_used() {
     let mut rig = Rig::new(fleet(2));
     rig.run(3, &[]);
     let held = rig.planners[0].report_log.view("f0", 100).len();
@@ -190,16 +194,16 @@
     let status = rig.planners[0].status(rig.now);
     assert_eq!(status.refused.values().sum::<u64>(), 6);
 
-    let good = encode(&rig.fronts[0].heartbeat(0, rig.now));
-    assert!(decode::<Heartbeat>(&good).is_ok());
+    let valid = encode(&rig.fronts[0].heartbeat(0, rig.now));
+    assert!(decode::<Heartbeat>(&valid).is_ok());
     assert_eq!(decode::<Heartbeat>(b"GET / HTTP/1.1").unwrap_err(), MessageError::UnknownFormat);
     assert_eq!(decode::<Heartbeat>(b"ys").unwrap_err(), MessageError::UnknownFormat);
-    let mut newer = good.clone();
+    let mut newer = valid.clone();
     newer[4] = (SCHEMA + 1) as u8;
     assert_eq!(decode::<Heartbeat>(&newer).unwrap_err(), MessageError::UnsupportedSchema(SCHEMA + 1));
-    for cut in 6..good.len() {
+    for cut in 6..valid.len() {
         assert!(
-            matches!(decode::<Heartbeat>(&good[..cut]), Err(MessageError::Unreadable(_))),
+            matches!(decode::<Heartbeat>(&valid[..cut]), Err(MessageError::Unreadable(_))),
             "cut at {cut}"
         );
     }
