--- /dev/null
+++ b/crates/yarrowspoke-front/src/descriptor_budget.rs
@@ -0,0 +1,187 @@
+//! File descriptors and body memory: one budget each, shared by client and machine connections.
+//!
+//! A resource is counted when it is taken and returned to its budget when its guard is dropped.
+
+use async_channel::{Receiver, Sender};
+use std::cell::Cell;
+use std::rc::Rc;
+
+/// Adds one to a counter for as long as it lives.
+pub struct CountGuard(Rc<Cell<usize>>);
+
+impl CountGuard {
+    /// Increments `count` until the guard is dropped.
+    pub fn new(count: &Rc<Cell<usize>>) -> Self {
+        count.set(count.get() + 1);
+        Self(Rc::clone(count))
+    }
+}
+
+impl Drop for CountGuard {
+    fn drop(&mut self) {
+        self.0.set(self.0.get() - 1);
+    }
+}
+
+/// A descriptor taken from the budget. Dropping it wakes a task that waits for one.
+pub struct Descriptor {
+    guard: Option<CountGuard>,
+    released: Sender<()>,
+}
+
+impl Drop for Descriptor {
+    fn drop(&mut self) {
+        self.guard = None;
+        let _ = self.released.try_send(());
+    }
+}
+
+/// The descriptors that client and machine connections share.
+///
+/// Each side has a limit, and both together have a total. With two fixed halves, one side runs out while the other
+/// has descriptors to spare; without limits, a burst of clients leaves no connection to a machine on which to serve them.
+pub struct DescriptorBudget {
+    total: usize,
+    max_clients: usize,
+    max_machines: usize,
+    clients: Rc<Cell<usize>>,
+    machines: Rc<Cell<usize>>,
+    released: (Sender<()>, Receiver<()>),
+    /// Idle client connections: those that have sent nothing yet, and those between two requests.
+    idle: [IdleGroup; 2],
+}
+
+/// Idle connections of one group that can be closed, the longest idle first.
+struct IdleGroup {
+    closable: Rc<Cell<usize>>,
+    close_request: (Sender<()>, Receiver<()>),
+}
+
+impl IdleGroup {
+    fn new() -> Self {
+        Self { closable: Rc::default(), close_request: async_channel::bounded(1) }
+    }
+}
+
+impl DescriptorBudget {
+    /// Creates a budget of `total` descriptors. Refusing a request takes only the client's descriptor, so the client side
+    /// has the higher limit.
+    pub fn new(total: usize) -> Rc<Self> {
+        let total = total.max(10);
+        Rc::new(Self {
+            total,
+            max_clients: total * 7 / 10,
+            max_machines: total * 4 / 10,
+            clients: Rc::default(),
+            machines: Rc::default(),
+            released: async_channel::bounded(1),
+            idle: [IdleGroup::new(), IdleGroup::new()],
+        })
+    }
+
+    /// Returns how many descriptors client connections and machine connections hold.
+    pub fn in_use(&self) -> (usize, usize) {
+        (self.clients.get(), self.machines.get())
+    }
+
+    /// Returns the limits of client connections and of machine connections.
+    pub fn limits(&self) -> (usize, usize) {
+        (self.max_clients, self.max_machines)
+    }
+
+    fn used(&self) -> usize {
+        self.clients.get() + self.machines.get()
+    }
+
+    /// Returns whether all descriptors are in use.
+    pub fn is_full(&self) -> bool {
+        self.used() >= self.total
+    }
+
+    /// Returns whether idle client connections should be closed. This holds before new connections have to wait and
+    /// before the clients reach their own limit. Clients can hold a third of a front's descriptors: where some send one
+    /// request and keep their connections open, no descriptor is left on which the others can send theirs.
+    pub fn is_running_low(&self) -> bool {
+        self.clients.get() >= self.total * 3 / 10 || self.used() >= self.total * 19 / 20
+    }
+
+    fn take(&self, count: &Rc<Cell<usize>>) -> Descriptor {
+        Descriptor { guard: Some(CountGuard::new(count)), released: self.released.0.clone() }
+    }
+
+    /// Returns whether one more client connection may be accepted.
+    pub fn can_accept_client(&self) -> bool {
+        self.clients.get() < self.max_clients && !self.is_full()
+    }
+
+    /// Takes a descriptor for an accepted client connection.
+    pub fn take_for_client(&self) -> Descriptor {
+        self.take(&self.clients)
+    }
+
+    /// Takes a descriptor for a connection to a machine, if one is left.
+    pub fn take_for_machine(&self) -> Option<Descriptor> {
+        let fits = self.machines.get() < self.max_machines && !self.is_full();
+        fits.then(|| self.take(&self.machines))
+    }
+
+    /// Waits until a descriptor has been released.
+    pub async fn wait_for_release(&self) {
+        let _ = self.released.1.recv().await;
+    }
+
+    /// Requests that one idle client connection of each group closes, the longest idle first.
+    pub fn request_idle_close(&self) {
+        for group in self.idle.iter().filter(|g| g.closable.get() > 0) {
+            let _ = group.close_request.0.try_send(());
+        }
+    }
+
+    /// Marks an idle connection as closable and waits until it is requested to close. `fresh` says that it has sent nothing
+    /// yet.
+    pub async fn idle_close_requested(&self, fresh: bool) {
+        let group = &self.idle[usize::from(!fresh)];
+        let _closable = CountGuard::new(&group.closable);
+        let _ = group.close_request.1.recv().await;
+    }
+
+    /// Withdraws close requests that no connection has received yet.
+    pub fn clear_close_requests(&self) {
+        for group in &self.idle {
+            let _ = group.close_request.1.try_recv();
+        }
+    }
+}
+
+/// Memory for large request bodies, reserved before a body is read and released when the reservation is dropped.
+///
+/// Each body is bounded by itself, but a few hundred of them together exceed the memory of a small front.
+pub struct BodyMemory {
+    available: Rc<Cell<usize>>,
+}
+
+/// Bytes reserved from a [`BodyMemory`].
+pub struct BodyReservation {
+    available: Rc<Cell<usize>>,
+    size: usize,
+}
+
+impl BodyMemory {
+    /// Creates a budget of `size` bytes.
+    pub fn new(size: usize) -> Self {
+        Self { available: Rc::new(Cell::new(size)) }
+    }
+
+    /// Reserves `size` bytes, if that many are available.
+    pub fn reserve(&self, size: usize) -> Option<BodyReservation> {
+        let rest = self.available.get().checked_sub(size)?;
+        self.available.set(rest);
+        Some(BodyReservation { available: Rc::clone(&self.available), size })
+    }
+}
+
+impl Drop for BodyReservation {
+    fn drop(&mut self) {
+        self.available.set(self.available.get() + self.size);
+    }
+}
--- a/crates/yarrowspoke-front/src/driver.rs
+++ b/crates/yarrowspoke-front/src/driver.rs
@@ -1,13 +1,13 @@
 //! Drives the decision module: one clock, its timers, events in order, actions carried out.
 
+use crate::event_bus::EventBus;
 use crate::exchange::{Answer, Exchange};
-use crate::hub::Hub;
-use crate::input::{Addresses, Input, ListNews, Row};
+use crate::input::{Addresses, Input, ListMessage, Row};
 use crate::net::list::Discovery;
-use crate::net::machines::{load_values, Machines, Progress, Until};
+use crate::net::machines::{parse_load_report, AttemptDeadlines, Machines, Progress};
 use crate::net::peers::Peers;
 use crate::net::platform::{self, Ballot};
-use crate::watch::Watch;
+use crate::shadow_settings::ShadowSettings;
 use async_channel::Receiver;
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
@@ -18,8 +18,8 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::rc::Rc;
 use yarrowspoke::interface::{
-    Action, Arrival, Build, Effect, Ended, Ending, Entry, Event, ListKind, MachineId, MachineState, Micros,
-    News, RequestId,
+    Action, Arrival, AttemptEnd, Build, CallOutcome, Event, Idempotency, ListUpdate, MachineEntry, MachineId,
+    MachineState, Micros, RequestId, RolloutStatus,
 };
 use yarrowspoke::Front;
 use yarrowspoke_settings::Settings;
@@ -68,7 +68,7 @@
 }
 
 /// Where the driver reaches everybody.
-pub struct Outside {
+pub struct RemoteServices {
     /// Runs the tasks.
     pub executor: Rc<LocalExecutor<'static>>,
     /// Machines.
@@ -83,16 +83,23 @@
 
 /// What the module is still to be told after the event in hand.
 enum Follow {
-    Outcome { id: RequestId, attempt: u16, machine: MachineId, ending: Ending, took: Micros, load: Vec<f32> },
-    News(News),
+    Outcome {
+        id: RequestId,
+        attempt: u16,
+        machine: MachineId,
+        ending: CallOutcome,
+        took: Micros,
+        load: Vec<f32>,
+    },
+    News(RolloutStatus),
 }
 
 /// Owns the decision module.
 pub struct Driver {
     front: Front,
     settings: Settings,
-    hub: Rc<Hub>,
-    outside: Outside,
+    hub: Rc<EventBus>,
+    outside: RemoteServices,
     open: BTreeMap<RequestId, Open>,
     flights: BTreeMap<(RequestId, u16), Flight>,
     /// Danger: entries of ended requests would stay for as long as their clients said they would wait.
@@ -101,9 +108,9 @@
     /// When the driver last looked at the time, to notice that the process stood still.
     turned: Micros,
     listed: BTreeMap<MachineId, (MachineState, Build)>,
-    news: Option<News>,
+    news: Option<RolloutStatus>,
     /// The newest state that the platform itself has told.
-    heard: Option<News>,
+    heard: Option<RolloutStatus>,
     watch: Option<Task<()>>,
     /// The watch before, until the present one has been answered: what was written to it counts as told.
     leaving: Option<Task<()>>,
@@ -112,7 +119,7 @@
     votes: Rc<Cell<usize>>,
     sweeps: u32,
     follow: VecDeque<Follow>,
-    watched: Option<Watch>,
+    watched: Option<ShadowSettings>,
 }
 
 impl Driver {
@@ -121,9 +128,9 @@
         seed: u64,
         settings: Settings,
         known: (u64, Vec<Row>),
-        news: Option<News>,
-        hub: Rc<Hub>,
-        outside: Outside,
+        news: Option<RolloutStatus>,
+        hub: Rc<EventBus>,
+        outside: RemoteServices,
     ) -> Self {
         let (now, mut actions) = (hub.clock.now(), Vec::new());
         let front = Front::new(seed, settings.module.clone(), now, &mut actions);
@@ -151,12 +158,12 @@
         };
         driver.listen();
         actions.into_iter().for_each(|a| driver.act(now, a));
-        let source = driver.outside.discovery.source();
-        driver.tell(Event::Discovery { source, moved: false });
-        driver.list(ListKind::Cached, known.0, known.1);
+        let source = driver.outside.discovery.discovery_id();
+        driver.tell(Event::DiscoveryAddress { discovery_id: source, moved: false });
+        driver.list(ListUpdate::Cached, known.0, known.1);
         driver.follow_up();
         if let Some(news) = news {
-            driver.take(Input::News(news));
+            driver.handle_input(Input::RolloutStatus(news));
         }
         driver.due(now + SWEEP, Due::Sweep);
         // Danger: where lists are pushed, what discovery has counts as told from the first moment, and what the
@@ -166,12 +173,12 @@
     }
 
     /// Counts from now on what these settings would have changed.
-    pub fn watch_for(&mut self, settings: yarrowspoke::interface::Settings) {
-        self.watched = Some(Watch::new(settings));
+    pub fn enable_shadow_settings(&mut self, settings: yarrowspoke::interface::Settings) {
+        self.watched = Some(ShadowSettings::new(settings));
     }
 
     /// Requests that are not done with, and timers that are set.
-    pub fn held(&self) -> (usize, usize) {
+    pub fn open_requests_and_timers(&self) -> (usize, usize) {
         (self.open.len(), self.timers.len())
     }
 
@@ -194,7 +201,7 @@
                 let more = (1..INPUTS_AT_ONCE).map_while(|_| inputs.try_recv().ok());
                 for input in std::iter::once(first).chain(more) {
                     self.notice_standstill();
-                    self.take(input);
+                    self.handle_input(input);
                 }
             }
             future::yield_now().await;
@@ -217,14 +224,15 @@
         log::warn!(span; "stood still; the list is let go until it is confirmed");
         // Danger: an answer that has waited to be read says that the list was current when it was written, not now.
         self.watch(false);
-        self.tell(Event::List { kind: ListKind::StoodStill, version: 0, entries: &[] });
+        self.tell(Event::List { kind: ListUpdate::Stalled, version: 0, entries: &[] });
     }
 
     /// Tells now and then what is held, and what broke attempts since.
     fn report_held(&self) {
         let ((clients, lines), [fresh, kept]) =
-            (self.hub.places.held(), self.hub.idle.each_ref().map(|c| c.get()));
-        let (idle, broken) = (self.outside.machines.idle(), self.outside.machines.take_broken());
+            (self.hub.descriptors.in_use(), self.hub.idle_clients.each_ref().map(|c| c.get()));
+        let (idle, broken) =
+            (self.outside.machines.idle_count(), self.outside.machines.take_failure_counts());
         log::info!(
             "clients {clients} ({fresh} new, {kept} kept idle), requests {}, attempts out {}, \
              connections to machines {lines} ({idle} idle), attempts broken {broken:?}",
@@ -236,32 +244,34 @@
             "list: version {}, last confirmed {:?} ago; calls to discovery: {} opened, {} renewed, failed {:?}, \
              slowest opening {:?}; since the start {:?}",
             self.outside.discovery.index(),
-            self.outside.discovery.heard().map(|at| at.elapsed()),
+            self.outside.discovery.last_answered_at().map(|at| at.elapsed()),
             calls.opened,
             calls.renewed,
             calls.failed,
             calls.slowest_open,
             self.front.membership_counts(),
         );
-        if let Some((events, counts)) = self.watched.as_ref().map(Watch::counts) {
+        if let Some((events, counts)) = self.watched.as_ref().map(ShadowSettings::counts) {
             log::info!("watch: of {events} events otherwise under the settings watched: {counts:?}");
         }
-        for told in [self.hub.classifier.report(), self.hub.keeper.report()].into_iter().flatten() {
+        for told in [self.hub.classifier.report(), self.hub.ledger_writer.report()].into_iter().flatten() {
             log::info!("{told}");
         }
     }
 
     /// At a limit, tells what holds the places.
     fn report(&self) {
-        let (((clients, held), (seats, lines)), idle) =
-            ((self.hub.places.held(), self.hub.places.most()), self.outside.machines.idle());
-        if clients < seats && held - idle < lines && !self.hub.places.is_full() {
+        let (((clients, held), (seats, lines)), idle) = (
+            (self.hub.descriptors.in_use(), self.hub.descriptors.limits()),
+            self.outside.machines.idle_count(),
+        );
+        if clients < seats && held - idle < lines && !self.hub.descriptors.is_full() {
             return;
         }
         let unsent = self.flights.values().filter(|f| f.progress.get() < Progress::Written).count();
-        let [fresh, kept] = self.hub.idle.each_ref().map(|c| c.get());
-        let first = self.hub.first_bytes.take();
-        let waiting = self.open.values().filter(|o| !o.exchange.is_over()).count();
+        let [fresh, kept] = self.hub.idle_clients.each_ref().map(|c| c.get());
+        let first = self.hub.max_first_byte_wait.take();
+        let waiting = self.open.values().filter(|o| !o.exchange.is_finished()).count();
         let out = self.flights.len();
         log::warn!(
             "at a limit: clients {clients} of {seats} ({fresh} new, {kept} kept idle, \
@@ -285,7 +295,7 @@
                 Due::Overdue(id) => self.overdue(id),
                 Due::Sweep => {
                     self.outside.machines.sweep(now);
-                    self.hub.keeper.snapshot(now, &self.settings.names);
+                    self.hub.ledger_writer.write_snapshot(now, &self.settings.names);
                     self.report();
                     self.sweeps += 1;
                     if self.sweeps.is_multiple_of(REPORT_EVERY) {
@@ -299,49 +309,50 @@
     }
 
     /// Takes one input, and carries out what follows from it.
-    pub fn take(&mut self, input: Input) {
+    pub fn handle_input(&mut self, input: Input) {
         match input {
             Input::Arrived(exchange) => self.arrived(exchange),
-            Input::Left(id) => self.left(id),
-            Input::Ended(id, attempt, Ok(reply)) => {
-                let report = reply.load.as_deref().unwrap_or_default();
-                let load = load_values(report, &self.settings.names.load_fields);
-                if reply.ending == Ending::Ok {
+            Input::ClientLeft(id) => self.left(id),
+            Input::AttemptEnded(id, attempt, Ok(reply)) => {
+                let report = reply.load_report.as_deref().unwrap_or_default();
+                let load = parse_load_report(report, &self.settings.names.load_fields);
+                if reply.outcome == CallOutcome::Ok {
                     if let Some(open) = self.open.get(&id) {
                         open.exchange.answer(Answer::Served(reply.body));
                     }
                 }
-                self.land(id, attempt, reply.ending, load);
+                self.land(id, attempt, reply.outcome, load);
             }
-            Input::Ended(id, attempt, Err(ending)) => self.land(id, attempt, ending, Vec::new()),
-            Input::List(news) if self.outside.discovery.is_current(news.watch) => {
+            Input::AttemptEnded(id, attempt, Err(ending)) => self.land(id, attempt, ending, Vec::new()),
+            Input::ListUpdated(news) if self.outside.discovery.is_current(news.watch) => {
                 self.leaving = None;
                 if !news.kind.is_failure() {
-                    self.outside.discovery.hold(news.index, news.is_astray);
+                    self.outside.discovery.set_version(news.index, news.needs_snapshot);
                 }
                 self.list(news.kind, news.index, news.rows);
             }
-            Input::List(news) => self.list_of_before(news),
+            Input::ListUpdated(news) => self.list_of_before(news),
             Input::ListConfirmed(watch, _) if !self.outside.discovery.is_current(watch) => {}
             Input::ListConfirmed(_, version) => {
                 self.leaving = None;
-                self.outside.discovery.hold(version, false);
-                self.tell(Event::List { kind: ListKind::Delta, version, entries: &[] });
+                self.outside.discovery.set_version(version, false);
+                self.tell(Event::List { kind: ListUpdate::Delta, version, entries: &[] });
             }
-            Input::News(news) => self.told(news),
-            Input::Fleet => self.fleet(),
-            Input::AskAgain => self.ask_again(),
-            Input::Message(from, bytes) => self.tell(Event::Message { from, bytes: &bytes }),
-            Input::Moved(addresses) => self.moved(addresses),
-            Input::Probed(machine, ending, took, load) => {
-                let load = load_values(load.as_deref().unwrap_or_default(), &self.settings.names.load_fields);
-                self.tell(Event::Probed { machine, ending, took, load: &load });
+            Input::RolloutStatus(news) => self.told(news),
+            Input::RestrictionsChanged => self.fleet(),
+            Input::RefreshSources => self.ask_again(),
+            Input::PeerMessage(from, bytes) => self.tell(Event::PeerMessage { from, bytes: &bytes }),
+            Input::AddressesChanged(addresses) => self.moved(addresses),
+            Input::ProbeEnded(machine, ending, took, load) => {
+                let load =
+                    parse_load_report(load.as_deref().unwrap_or_default(), &self.settings.names.load_fields);
+                self.tell(Event::ProbeEnded { machine, outcome: ending, duration: took, load_report: &load });
             }
-            Input::Rates(rates) => {
-                self.settings.module.verdicts = rates;
-                self.front.restate(self.settings.module.clone());
+            Input::ErrorRatesChanged(rates) => {
+                self.settings.module.error_rates = rates;
+                self.front.replace_settings(self.settings.module.clone());
                 if let Some(watch) = &mut self.watched {
-                    watch.state_rates(rates);
+                    watch.set_error_rates(rates);
                 }
             }
         }
@@ -349,7 +360,7 @@
     }
 
     fn arrived(&mut self, exchange: Rc<Exchange>) {
-        if exchange.is_over() {
+        if exchange.is_finished() {
             return;
         }
         let (id, call) = (exchange.id, &exchange.call);
@@ -359,16 +370,16 @@
             remaining: exchange.deadline.saturating_sub(self.hub.clock.now()),
             key: call.key,
             tenant: call.tenant,
-            hint: call.hint,
-            repeat: call.repeat,
-            ruled: call.ruled,
+            work_hint: call.work_hint,
+            is_retry: call.is_retry,
+            policy: call.policy,
         };
         // Rule 1, last resort: should the module fail to answer, the client is told of the failure in time.
         let last = exchange.deadline + self.settings.module.answer_slack;
         let overdue = self.due(last, Due::Overdue(id));
         self.open.insert(id, Open { exchange, overdue, attempts: 0, out: 0, ran_from: None });
         if let Some(member) = &self.hub.member {
-            member.taken();
+            member.record_request();
         }
         self.tell(Event::Request(arrival));
         self.tidy(id);
@@ -378,14 +389,14 @@
         if !self.open.contains_key(&id) {
             return;
         }
-        self.tell(Event::Withdrawn { id });
+        self.tell(Event::ClientLeft { id });
         // An attempt lasts until the client stops waiting: nobody waits for these any more.
         self.give_up(id);
     }
 
     fn give_up(&mut self, id: RequestId) {
         let out: Vec<u16> = self.flights.range((id, 0)..=(id, u16::MAX)).map(|f| f.0 .1).collect();
-        out.into_iter().for_each(|attempt| self.land(id, attempt, Ending::Cancelled, Vec::new()));
+        out.into_iter().for_each(|attempt| self.land(id, attempt, CallOutcome::Cancelled, Vec::new()));
         self.tidy(id);
     }
 
@@ -393,18 +404,18 @@
         let Some(open) = self.open.get(&id) else { return };
         if open.exchange.answer(Answer::Failed) {
             log::error!("request {id} had no final answer in time");
-            self.tell(Event::Withdrawn { id });
+            self.tell(Event::ClientLeft { id });
         }
         self.give_up(id);
     }
 
-    fn list(&mut self, kind: ListKind, index: u64, rows: Vec<Row>) {
-        if kind != ListKind::Cached {
+    fn list(&mut self, kind: ListUpdate, index: u64, rows: Vec<Row>) {
+        if kind != ListUpdate::Cached {
             self.hub.ready.set(true);
         }
-        self.hub.keeper.listed(kind, &rows);
+        self.hub.ledger_writer.record_list(kind, &rows);
         let rows = match &self.hub.member {
-            Some(member) => member.listed(kind, index, rows),
+            Some(member) => member.apply_list(kind, index, rows),
             None => rows,
         };
         self.put_list(kind, index, &rows);
@@ -412,14 +423,14 @@
 
     /// A watch that another has taken the place of tells what was written to it before. Danger: it counts as told, but the
     /// list may have gone on since, and discovery may be elsewhere: so it takes machines away and vouches for none.
-    fn list_of_before(&mut self, news: ListNews) {
+    fn list_of_before(&mut self, news: ListMessage) {
         let is_in_use =
             |row: &Row| matches!(self.listed.get(&row.entry.machine), Some((MachineState::Ready, _)));
         let leaves = |row: &Row| row.entry.state != MachineState::Ready && is_in_use(row);
         let rows: Vec<Row> = news.rows.into_iter().filter(leaves).collect();
         log::info!(index = news.index, leave = rows.len(); "discovery: last answer of a watch that was left");
         if !rows.is_empty() {
-            self.put_list(ListKind::Narrowed, 0, &rows);
+            self.put_list(ListUpdate::Restricted, 0, &rows);
         }
     }
 
@@ -428,9 +439,9 @@
         let Some(member) = self.hub.member.clone() else { return };
         let rows = member.changed_rows();
         if !rows.is_empty() {
-            self.put_list(ListKind::Narrowed, 0, &rows);
+            self.put_list(ListUpdate::Restricted, 0, &rows);
         }
-        if let Some(news) = member.changed_news() {
+        if let Some(news) = member.changed_status() {
             self.put_news(news);
         }
     }
@@ -443,17 +454,17 @@
         self.listen();
     }
 
-    fn put_list(&mut self, kind: ListKind, version: u64, rows: &[Row]) {
-        if matches!(kind, ListKind::Full | ListKind::Cached) {
+    fn put_list(&mut self, kind: ListUpdate, version: u64, rows: &[Row]) {
+        if matches!(kind, ListUpdate::Snapshot | ListUpdate::Cached) {
             self.listed.clear();
             self.outside.machines.keep_only(rows);
         }
         for row in rows {
             self.listed.insert(row.entry.machine, (row.entry.state, row.entry.build));
-            self.outside.machines.learn(row);
+            self.outside.machines.update(row);
         }
         log::debug!(kind:?, lines = rows.len(); "list");
-        let entries: Vec<Entry> = rows.iter().map(|r| r.entry.clone()).collect();
+        let entries: Vec<MachineEntry> = rows.iter().map(|r| r.entry.clone()).collect();
         self.tell(Event::List { kind, version, entries: &entries });
         // An attempt still unwritten when its machine drains, leaves or comes back with another build.
         let listed = std::mem::take(&mut self.listed);
@@ -461,31 +472,32 @@
         self.listed = listed;
     }
 
-    fn told(&mut self, news: News) {
-        let news = match self.heard.filter(|held| news.answer && platform::is_behind(&news, held)) {
-            Some(held) => News { answer: true, ..held },
-            None => news,
-        };
-        if news.ending == Ending::Ok {
+    fn told(&mut self, news: RolloutStatus) {
+        let news =
+            match self.heard.filter(|held| news.is_vote_reply && platform::is_outdated_reply(&news, held)) {
+                Some(held) => RolloutStatus { is_vote_reply: true, ..held },
+                None => news,
+            };
+        if news.outcome == CallOutcome::Ok {
             self.heard = Some(news);
         }
         let news = match &self.hub.member {
-            Some(member) if news.ending == Ending::Ok => member.told(news),
+            Some(member) if news.outcome == CallOutcome::Ok => member.apply_status(news),
             _ => news,
         };
         self.put_news(news);
     }
 
-    fn put_news(&mut self, news: News) {
+    fn put_news(&mut self, news: RolloutStatus) {
         let before = self.news;
-        let News { build, stage, phase, ending, cap, answer, .. } = news;
+        let RolloutStatus { build, stage, phase, outcome: ending, cap, is_vote_reply: answer, .. } = news;
         log::debug!(build, stage, phase:?, ending:?, cap, answer; "news");
-        self.tell(Event::News(news));
-        if news.ending != Ending::Ok {
+        self.tell(Event::RolloutStatus(news));
+        if news.outcome != CallOutcome::Ok {
             return;
         }
         self.news = Some(news);
-        self.hub.keeper.told(self.hub.clock.now(), &news);
+        self.hub.ledger_writer.record_status(self.hub.clock.now(), &news);
         // An attempt still unwritten when its build's cap falls.
         let fell = before.is_none_or(|b| b.build != news.build || news.cap < b.cap || b.phase != news.phase);
         if fell {
@@ -498,7 +510,7 @@
         let unwritten = |f: &Flight| f.progress.get() < Progress::Written && which(f);
         let ids: Vec<_> = self.flights.iter().filter(|f| unwritten(f.1)).map(|f| *f.0).collect();
         for (id, attempt) in ids {
-            self.land(id, attempt, Ending::ConnectFailed, Vec::new());
+            self.land(id, attempt, CallOutcome::ConnectFailed, Vec::new());
         }
     }
 
@@ -506,17 +518,17 @@
         let Some(flight) = self.flights.get(&(id, attempt)) else { return };
         // Given up before its last byte was written, it cannot have run.
         let written = flight.progress.get() == Progress::Written;
-        let ending = if written { Ending::Timeout } else { Ending::ConnectFailed };
+        let ending = if written { CallOutcome::Timeout } else { CallOutcome::ConnectFailed };
         self.land(id, attempt, ending, Vec::new());
     }
 
     /// An attempt has ended: its connection is closed unless it was given back before.
-    fn land(&mut self, id: RequestId, attempt: u16, ending: Ending, load: Vec<f32>) {
+    fn land(&mut self, id: RequestId, attempt: u16, ending: CallOutcome, load: Vec<f32>) {
         let Some(flight) = self.flights.remove(&(id, attempt)) else { return };
         self.timers.remove(&flight.expires);
         if let Some(open) = self.open.get_mut(&id) {
             open.out -= 1;
-            if !matches!(ending, Ending::ConnectFailed | Ending::Full) {
+            if !matches!(ending, CallOutcome::ConnectFailed | CallOutcome::Rejected) {
                 open.ran_from = Some(open.ran_from.map_or(flight.sent, |at| at.min(flight.sent)));
             }
         }
@@ -530,19 +542,27 @@
         while let Some(follow) = self.follow.pop_front() {
             match follow {
                 Follow::Outcome { id, attempt, machine, ending, took, load } => {
-                    let settled = self.open.get(&id).is_none_or(|o| o.exchange.is_over());
+                    let settled = self.open.get(&id).is_none_or(|o| o.exchange.is_finished());
                     let load = &load;
-                    self.tell(Event::Outcome(Ended { id, attempt, machine, ending, settled, took, load }));
+                    self.tell(Event::AttemptEnded(AttemptEnd {
+                        id,
+                        attempt,
+                        machine,
+                        outcome: ending,
+                        request_done: settled,
+                        duration: took,
+                        load_report: load,
+                    }));
                     self.tidy(id);
                 }
-                Follow::News(news) => self.tell(Event::News(news)),
+                Follow::News(news) => self.tell(Event::RolloutStatus(news)),
             }
         }
     }
 
     /// Forgets a request that is over once its attempts have ended.
     fn tidy(&mut self, id: RequestId) {
-        if self.open.get(&id).is_some_and(|o| o.out == 0 && o.exchange.is_over()) {
+        if self.open.get(&id).is_some_and(|o| o.out == 0 && o.exchange.is_finished()) {
             if let Some(open) = self.open.remove(&id) {
                 self.timers.remove(&open.overdue);
             }
@@ -559,7 +579,7 @@
             log::error!("decision module panicked on {event:?}");
         }
         if let (Some(watch), Some(before)) = (&mut self.watched, before) {
-            watch.look(before, now, &event, &actions);
+            watch.compare(before, now, &event, &actions);
         }
         actions.into_iter().for_each(|action| self.act(now, action));
     }
@@ -567,20 +587,20 @@
     fn act(&mut self, now: Micros, action: Action) {
         match action {
             Action::Send { id, machine, timeout } => self.send(now, id, machine, timeout),
-            Action::Refuse { id, backoff } => self.answer(id, Answer::Refused(backoff)),
+            Action::Refuse { id, retry_after: backoff } => self.answer(id, Answer::Refused(backoff)),
             Action::Fail { id } => self.answer(id, Answer::Failed),
-            Action::Cancel { id, attempt } => self.land(id, attempt, Ending::Cancelled, Vec::new()),
+            Action::Cancel { id, attempt } => self.land(id, attempt, CallOutcome::Cancelled, Vec::new()),
             Action::Probe { machine } => self.probe(machine),
-            Action::Watch(on) => self.watch(on),
-            Action::Fetch => self.fetch(),
+            Action::Subscribe(on) => self.watch(on),
+            Action::FetchList => self.fetch(),
             Action::Timer { name, after } => {
                 self.due(now + after, Due::Module(name));
             }
-            Action::Vote { build, stage, verdict } => self.vote(Ballot { build, stage, verdict }),
-            Action::Close { machine } => self.outside.machines.close_idle(machine),
-            Action::Tell { peer, bytes } => {
+            Action::Vote { build, stage, vote } => self.vote(Ballot { build, stage, vote }),
+            Action::CloseIdle { machine } => self.outside.machines.close_idle(machine),
+            Action::SendToPeer { peer, bytes } => {
                 if let Some(peers) = &self.outside.peers {
-                    peers.tell(peer, &bytes);
+                    peers.send(peer, &bytes);
                 }
             }
             Action::Log(text) => log::info!("module: {text}"),
@@ -611,15 +631,15 @@
     /// new, and what is told only at the new ones counts as told. A vote on its way ends where it began.
     fn moved(&mut self, to: Addresses) {
         if let Some(peers) = &self.outside.peers {
-            peers.moved(to.peers, to.peers_all);
+            peers.set_addresses(to.peers, to.peers_all);
         }
         let from = self.outside.discovery.address();
-        if self.outside.discovery.moved(to.discovery) {
+        if self.outside.discovery.set_address(to.discovery) {
             log::info!(from:%, to:% = to.discovery, watching = self.watch.is_some(), held = self.outside.discovery.index(); "discovery moved");
             // What the old one still says confirms nothing; the module has the new one called in its turn.
             self.watch(false);
-            let source = self.outside.discovery.source();
-            self.tell(Event::Discovery { source, moved: true });
+            let source = self.outside.discovery.discovery_id();
+            self.tell(Event::DiscoveryAddress { discovery_id: source, moved: true });
             if self.fetch.as_ref().is_some_and(|f| !f.is_finished()) {
                 self.fetch();
             }
@@ -634,7 +654,7 @@
             log::debug!(class = open.exchange.call.class, answer:?; "given up");
             open.exchange.answer(answer);
             if let Some(member) = &self.hub.member {
-                member.given_up();
+                member.record_shed_request();
             }
         }
         self.tidy(id);
@@ -647,7 +667,7 @@
         let class = self.settings.module.classes.get(usize::from(open.exchange.call.class))?;
         let out = self.flights.range((id, 0)..=(id, u16::MAX)).map(|f| f.1.sent);
         let first = out.chain(open.ran_from).min()?;
-        (class.effect == Effect::ByKey).then(|| first.saturating_add(class.dedup_window))
+        (class.idempotency == Idempotency::Keyed).then(|| first.saturating_add(class.dedup_window))
     }
 
     fn send(&mut self, now: Micros, id: RequestId, machine: MachineId, timeout: Micros) {
@@ -660,28 +680,28 @@
         open.attempts += 1;
         let exchange = Rc::clone(&open.exchange);
         let build = self.listed.get(&machine).map_or(0, |m| m.1);
-        let late = exchange.is_over() || now >= exchange.deadline;
+        let late = exchange.is_finished() || now >= exchange.deadline;
         // Danger: a process that stood still wakes up with the module's orders of before; the lease is looked at here.
-        let late = late || self.hub.member.as_ref().is_some_and(|m| m.leaves_out(machine, build));
+        let late = late || self.hub.member.as_ref().is_some_and(|m| m.excludes(machine, build));
         if late || u32::from(attempt) >= self.settings.module.max_attempts {
-            let (ending, load) = (Ending::Moot, Vec::new());
+            let (ending, load) = (CallOutcome::NotSent, Vec::new());
             self.follow.push_back(Follow::Outcome { id, attempt, machine, ending, took: 0, load });
             return;
         }
         if log::log_enabled!(log::Level::Debug) {
             let discovery = &self.outside.discovery;
-            let age_ms = discovery.heard().map(|at| at.elapsed().as_millis() as u64);
-            let (version, basis) = (discovery.index(), self.front.list_basis(now, machine));
+            let age_ms = discovery.last_answered_at().map(|at| at.elapsed().as_millis() as u64);
+            let (version, basis) = (discovery.index(), self.front.lease_basis(now, machine));
             log::debug!(id, attempt, machine, build, version, age_ms:?, basis:?; "attempt sent");
         }
         open.out += 1;
         let wait = exchange.deadline - now;
         let wait = if timeout > 0 { wait.min(timeout) } else { wait };
-        let until = Until { expires: now + wait, write_by: write_by.map(|by| by.min(now + wait)) };
+        let until = AttemptDeadlines { expires: now + wait, write_by: write_by.map(|by| by.min(now + wait)) };
         let expires = self.due(until.expires, Due::Attempt(id, attempt));
         let progress = Rc::new(Cell::new(Progress::Connecting));
         if let Some(member) = &self.hub.member {
-            member.attempt(machine, build);
+            member.record_attempt(machine, build);
         }
         let (machines, hub) = (Rc::clone(&self.outside.machines), Rc::clone(&self.hub));
         let told = Rc::clone(&progress);
@@ -693,12 +713,12 @@
                 Ok(Ok(reply)) => Ok(reply),
                 Ok(Err(e)) => {
                     log::debug!("attempt {id}/{attempt}: {e}");
-                    Err(e.ending())
+                    Err(e.outcome())
                 }
-                Err(_) if told.get() == Progress::Written => Err(Ending::Reset),
-                Err(_) => Err(Ending::ConnectFailed),
+                Err(_) if told.get() == Progress::Written => Err(CallOutcome::Reset),
+                Err(_) => Err(CallOutcome::ConnectFailed),
             };
-            let _ = hub.inputs.send(Input::Ended(id, attempt, result)).await;
+            let _ = hub.inputs.send(Input::AttemptEnded(id, attempt, result)).await;
         });
         let flight = Flight { machine, build, sent: now, expires, progress, _task: task };
         self.flights.insert((id, attempt), flight);
@@ -710,26 +730,27 @@
             let begun = hub.clock.now();
             let (ending, load) = machines.probe(machine, PROBE_LIMIT).await;
             let took = hub.clock.now() - begun;
-            let _ = hub.inputs.send(Input::Probed(machine, ending, took, load)).await;
+            let _ = hub.inputs.send(Input::ProbeEnded(machine, ending, took, load)).await;
         };
         self.outside.executor.spawn(probe).detach();
     }
 
     fn vote(&mut self, ballot: Ballot) {
-        let out = self.hub.member.as_ref().is_some_and(|m| m.is_out());
+        let out = self.hub.member.as_ref().is_some_and(|m| m.withholds_votes());
         let room = self.votes.get() < VOTE_LIMIT && !out;
         let Some(address) = self.outside.platform.filter(|_| room) else {
             let Ballot { build, stage, .. } = ballot;
-            let (phase, ending) = (yarrowspoke::interface::Phase::Trial, Ending::ConnectFailed);
-            let news = News { build, stage, phase, answer: true, ending, cap: 0.0, age: 0 };
+            let (phase, ending) = (yarrowspoke::interface::Phase::Trial, CallOutcome::ConnectFailed);
+            let news =
+                RolloutStatus { build, stage, phase, is_vote_reply: true, outcome: ending, cap: 0.0, age: 0 };
             self.follow.push_back(Follow::News(news));
             return;
         };
         let (votes, inputs) = (Rc::clone(&self.votes), self.hub.inputs.clone());
-        let limit = self.settings.module.release.call_timeout;
+        let limit = self.settings.module.release.vote_timeout;
         votes.set(votes.get() + 1);
         if let Some(member) = &self.hub.member {
-            member.vote();
+            member.record_vote();
         }
         let cast = async move {
             platform::vote(address, ballot, limit, inputs).await;
