--- a/crates/yarrowspoke-verdict/src/failures.rs
+++ b/crates/yarrowspoke-verdict/src/failures.rs
@@ -1,11 +1,11 @@
 //! The safe two-by-two test of failures, block by block.
 //!
-//! Within a block (a short time, one class, one zone) `n` outcomes of the build on trial stand beside `m` of the
-//! earlier one. For an alternative (a, b), the ratio of its likelihood to that at the common share
-//! c = (n a + m b) / (n + m) is an e-value for the null that both fail alike, whatever share that is (Turner, Ly and
+//! Within a block (a short time, one class, one zone) `n` outcomes of the build on trial are compared to `m` of the
+//! earlier one. For an alternative (a, b), the ratio of its likelihood to that at the common share c = (n a + m b) /
+//! (n + m) is an e-value for the null hypothesis that both fail alike, whatever that share is (Turner, Ly and
 //! Grünwald 2024): the expectation of one trial outcome's factor is 1 + s (θ - c) with s = (a - c) / (c (1 - c)),
-//! that of an earlier one's 1 + t (θ - c), and n s + m t = 0, so the product is at most one. As θ may differ
-//! from block to block, a trouble that both builds meet is no evidence, however it comes and goes.
+//! that of an earlier one's is 1 + t (θ - c), and n s + m t = 0, so the product is at most one. As θ may differ from
+//! block to block, a trouble that both builds have is not evidence, however it comes and goes.
 
 use crate::evidence::Evidence;
 
@@ -14,130 +14,140 @@
 pub struct MachineOutcomes {
     /// The machine.
     pub machine: u32,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: u16,
-    /// Time since it started, in microseconds.
+    /// Time since the machine started, in microseconds.
     pub age: u64,
-    /// Outcomes.
+    /// Number of outcomes.
     pub outcomes: u32,
-    /// Those that failed.
+    /// Number of outcomes that failed.
     pub failed: u32,
 }
 
-/// The earlier build's side of a block.
+/// Outcomes of the earlier build within a block.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BuildOutcomes {
-    /// Outcomes.
+    /// Number of outcomes.
     pub outcomes: f64,
-    /// Those that failed.
+    /// Number of outcomes that failed.
     pub failed: f64,
 }
 
 impl BuildOutcomes {
-    /// Both together.
+    /// Returns the sum of both.
     pub fn plus(self, other: Self) -> Self {
         Self { outcomes: self.outcomes + other.outcomes, failed: self.failed + other.failed }
     }
 
-    /// Share that failed, taken towards `floor` as if `weight` outcomes had failed at it, and never under it.
+    /// Returns the share that failed, shrunk towards `floor` as if `weight` more outcomes had failed at that share,
+    /// and never below it.
     pub fn failure_share(&self, floor: f64, weight: f64) -> f64 {
         ((self.failed + floor * weight) / (self.outcomes + weight)).clamp(floor, 0.9)
     }
 }
 
-/// Evidence that what is reported of `n` outcomes, `seen` times, comes more often than at the share `usual`: the
-/// logarithm of the mean likelihood ratio over those of `shares` that are above it, by Poisson's law. Under any lesser
-/// share the ratio is an e-value at every look; none above it says nothing.
-pub fn excess_evidence(usual: f64, shares: &[f64], seen: f64, n: f64) -> f64 {
+/// Returns the evidence that something observed `observed` times in `n` outcomes occurs more often than at the share
+/// `usual`: the logarithm of the mean Poisson likelihood ratio over those of `shares` that are above `usual`. For any
+/// share up to `usual`, the ratio is an e-value at every evaluation. Without shares above `usual` there is no
+/// evidence.
+pub fn excess_evidence(usual: f64, shares: &[f64], observed: f64, n: f64) -> f64 {
     let above: Vec<f64> = shares.iter().copied().filter(|s| *s > usual).collect();
-    let ratio = |s: &f64| (seen * (s / usual).ln() - n * (s - usual)).exp();
+    let ratio = |s: &f64| (observed * (s / usual).ln() - n * (s - usual)).exp();
     match above.len() {
         0 => 0.0,
-        many => (above.iter().map(ratio).sum::<f64>() / many as f64).ln(),
+        count => (above.iter().map(ratio).sum::<f64>() / count as f64).ln(),
     }
 }
 
-/// Takes a block in which both builds have outcomes. `usual` is the earlier build's share as known before.
+/// Adds a block in which both builds have outcomes. `usual` is the earlier build's failure share as known before.
 pub fn compare(
-    into: &mut Evidence,
+    evidence: &mut Evidence,
     effects: &[f64],
     usual: f64,
     trial: &[MachineOutcomes],
     earlier: BuildOutcomes,
 ) {
     if earlier.outcomes > 0.0 {
-        compare_by_age(into, effects, usual, trial, |_| earlier);
+        compare_by_age(evidence, effects, usual, trial, |_| earlier);
     }
 }
 
-/// The same where what stands beside depends on the age from which a fault may show: classes on the same machines.
+/// Adds a block like [`compare`], where the outcomes compared to depend on the age from which a fault may show: other
+/// classes on the same machines.
 ///
-/// Danger: held against all machines, a class on the oldest ones stands out for nothing but that one of those is sick.
+/// If a class on the oldest machines were compared to other classes on all machines, it would stand out merely
+/// because one of the oldest machines is faulty.
 pub fn compare_by_age(
-    into: &mut Evidence,
+    evidence: &mut Evidence,
     effects: &[f64],
     usual: f64,
     trial: &[MachineOutcomes],
-    beside: impl Fn(u64) -> BuildOutcomes,
+    earlier_at_age: impl Fn(u64) -> BuildOutcomes,
 ) {
-    each_component(into, effects, trial, |age, effect, n| {
-        let earlier = beside(age);
+    each_component(evidence, effects, trial, |age, effect, n| {
+        let earlier = earlier_at_age(age);
         if earlier.outcomes <= 0.0 {
             return (0.0, 0.0, 0.0);
         }
         let (a, b) = (raised_share(usual, effect), usual);
         let c = (n * a + earlier.outcomes * b) / (n + earlier.outcomes);
-        let beside = (earlier.outcomes - earlier.failed) * ((1.0 - b) / (1.0 - c)).ln()
+        let earlier_log = (earlier.outcomes - earlier.failed) * ((1.0 - b) / (1.0 - c)).ln()
             + earlier.failed * (b / c).ln();
-        (beside, ((1.0 - a) / (1.0 - c)).ln(), (a / c).ln())
+        (earlier_log, ((1.0 - a) / (1.0 - c)).ln(), (a / c).ln())
     });
 }
 
-/// Takes outcomes of the build on trial with nothing beside them, against the share `most` that the earlier build
-/// surely stayed under when it was last seen. Wald's likelihood ratio against the nearest point of the null.
-pub fn compare_to_bound(into: &mut Evidence, effects: &[f64], most: f64, trial: &[MachineOutcomes]) {
-    each_component(into, effects, trial, |_, effect, _| {
-        let a = raised_share(most, effect);
-        (0.0, ((1.0 - a) / (1.0 - most)).ln(), (a / most).ln())
+/// Adds outcomes of the build on trial without any to compare to, against the share `bound` that the earlier build
+/// surely stayed under when it was last seen. This is Wald's likelihood ratio against the nearest point of the null
+/// hypothesis.
+pub fn compare_to_bound(evidence: &mut Evidence, effects: &[f64], bound: f64, trial: &[MachineOutcomes]) {
+    each_component(evidence, effects, trial, |_, effect, _| {
+        let a = raised_share(bound, effect);
+        (0.0, ((1.0 - a) / (1.0 - bound)).ln(), (a / bound).ln())
     });
 }
 
-/// Adds a block to each component: `logs` gives, for an age, an effect and the trial's outcomes that count there, what
-/// the earlier side adds, and each success and each failure of the trial.
+/// Adds a block to each component. For an age, an effect and the number of trial outcomes that count there, `logs`
+/// returns what the earlier build adds, and what each success and each failure of the trial adds.
 fn each_component(
-    into: &mut Evidence,
+    evidence: &mut Evidence,
     effects: &[f64],
     trial: &[MachineOutcomes],
     logs: impl Fn(u64, f64, f64) -> (f64, f64, f64),
 ) {
-    for p in trial {
-        into.record_outcomes(p.machine, p.zone, p.age, p.outcomes);
+    for machine in trial {
+        evidence.record_outcomes(machine.machine, machine.zone, machine.age, machine.outcomes);
     }
-    let ages: Vec<u64> = into.ages().collect();
-    for (slot, age) in ages.into_iter().enumerate() {
-        let counts = || trial.iter().filter(|p| p.age >= age);
-        let n: f64 = counts().map(|p| f64::from(p.outcomes)).sum();
+    let ages: Vec<u64> = evidence.ages().collect();
+    for (component, age) in ages.into_iter().enumerate() {
+        let counted = || trial.iter().filter(|machine| machine.age >= age);
+        let n: f64 = counted().map(|machine| f64::from(machine.outcomes)).sum();
         if n <= 0.0 {
             continue;
         }
         for (i, effect) in effects.iter().enumerate() {
-            let (beside, success, failure) = logs(age, *effect, n);
-            into.add(slot, i, beside + n * success);
-            for p in counts().filter(|p| p.failed > 0) {
-                into.add_gain(p.machine, slot, i, f64::from(p.failed) * (failure - success));
+            let (earlier_log, success, failure) = logs(age, *effect, n);
+            evidence.add(component, i, earlier_log + n * success);
+            for machine in counted().filter(|machine| machine.failed > 0) {
+                evidence.add_gain(
+                    machine.machine,
+                    component,
+                    i,
+                    f64::from(machine.failed) * (failure - success),
+                );
             }
         }
     }
 }
 
-/// Logarithm of an e-value against "the build on trial fails by `margin` more than `usual`, or worse": the larger,
-/// the surer that it does not.
-pub fn no_worse_evidence(usual: f64, margin: f64, n: f64, bad: f64) -> f64 {
+/// Returns the logarithm of an e-value against "the build on trial fails by `margin` more than `usual`, or worse".
+/// The larger it is, the surer it is that the build does not.
+pub fn no_worse_evidence(usual: f64, margin: f64, n: f64, failed: f64) -> f64 {
     let worse = raised_share(usual, margin);
-    (n - bad) * ((1.0 - usual) / (1.0 - worse)).ln() + bad * (usual / worse).ln()
+    (n - failed) * ((1.0 - usual) / (1.0 - worse)).ln() + failed * (usual / worse).ln()
 }
 
-/// A share with an effect on what it leaves.
+/// Returns `share` raised by `effect` of the remainder to 1.
 pub fn raised_share(share: f64, effect: f64) -> f64 {
     share + effect * (1.0 - share)
 }
--- a/crates/yarrowspoke-verdict/src/lib.rs
+++ b/crates/yarrowspoke-verdict/src/lib.rs
@@ -1,14 +1,15 @@
-//! Statistics of judging a build on trial, with stated error rates, looked at any number of times.
+//! Statistics for judging a build on trial with stated error rates, however often the evidence is evaluated.
 //!
-//! Nothing here does I/O, reads a clock, draws random numbers or holds a tuned value: spans, effects and rates are
-//! the caller's ([`evidence_log::Design`]). What is found is evidence; what follows from it is the caller's to decide.
+//! Nothing here does I/O, reads a clock, draws random numbers or holds a tuned value: time spans, effects and rates
+//! come from the caller ([`evidence_log::Design`]). The results are evidence; the caller decides what follows from
+//! it.
 //!
-//! - [`evidence`]: e-processes mixed over effects and change points, kept apart by witness;
+//! - [`evidence`]: e-processes mixed over effects and change points, kept separately by witness;
 //! - [`failures`]: the safe two-by-two test of failures, in blocks of time, class and zone;
-//! - [`pace`]: the test of slowness in which a machine is one witness, whatever it says;
-//! - [`split`]: the split of a fleet's rate over fronts and of a front's over time;
+//! - [`pace`]: the test of slowness, in which each machine is one witness, however much it reports;
+//! - [`split`]: how the fleet's error rate is split over fronts, and a front's over time;
 //! - [`power`]: which faults can be found within which time;
-//! - [`evidence_log`]: all of it for one build at one front.
+//! - [`evidence_log`]: all evidence on one build at one front.
 
 pub mod evidence;
 pub mod evidence_log;
--- a/crates/yarrowspoke-verdict/tests/common/mod.rs
+++ b/crates/yarrowspoke-verdict/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A design and streams of outcomes for tests.
+//! A design and random streams of outcomes for tests.
 #![allow(dead_code)]
 
 use rand::{Rng, SeedableRng};
@@ -44,7 +44,7 @@
     }
 }
 
-/// A stream of one front: which machine, class and side at which time, with the chances of failing given.
+/// A stream of outcomes of one front, with random machines, classes and builds, and given failure probabilities.
 pub struct Stream {
     pub rng: Pcg64Mcg,
     pub now: u64,
@@ -59,7 +59,8 @@
         Self { rng, now: 0, trial_share: 0.25, trial_machines: 4, earlier_machines: 12 }
     }
 
-    /// The next outcome, 10 ms later; `fails` and `pace` are asked for the side, machine, zone and class.
+    /// Returns the next outcome, 10 ms later. `fails` and `pace` take whether it is the build on trial, the machine
+    /// and the zone; `fails` also takes the class and the time.
     pub fn next(
         &mut self,
         fails: impl Fn(bool, u32, u16, usize, u64) -> f64,
@@ -75,8 +76,8 @@
         let (zone, class) = ((machine % 2) as u16, self.rng.gen_range(0..3));
         let failed = self.rng.gen_bool(fails(trial, machine, zone, class, self.now));
         let noise: f64 = self.rng.gen_range(-0.05..0.05);
-        let reported = (!failed).then(|| pace(trial, machine, zone) * noise.exp());
-        let o = Outcome {
+        let reported_time = (!failed).then(|| pace(trial, machine, zone) * noise.exp());
+        let outcome = Outcome {
             at: self.now,
             machine,
             zone,
@@ -84,28 +85,28 @@
             age: self.now,
             class,
             failed,
-            reported_time: reported,
+            reported_time,
             measured_pace: None,
         };
-        (trial, o)
+        (trial, outcome)
     }
 
-    /// Feeds `n` outcomes and returns the highest evidence seen on the way: failing, slow.
+    /// Records `n` outcomes and returns the highest evidence seen on the way: failing, slow.
     pub fn feed(
         &mut self,
-        book: &mut EvidenceLog,
+        log: &mut EvidenceLog,
         n: usize,
         fails: impl Fn(bool, u32, u16, usize, u64) -> f64,
         pace: impl Fn(bool, u32, u16) -> f64,
     ) -> (f64, f64) {
-        let mut most = (f64::MIN, f64::MIN);
+        let mut highest = (f64::MIN, f64::MIN);
         for _ in 0..n {
-            let (trial, o) = self.next(&fails, &pace);
-            book.record(trial, &o);
-            book.close_due_blocks(self.now);
-            let f = book.findings();
-            most = (most.0.max(f.failing), most.1.max(f.slow));
+            let (trial, outcome) = self.next(&fails, &pace);
+            log.record(trial, &outcome);
+            log.close_due_blocks(self.now);
+            let f = log.findings();
+            highest = (highest.0.max(f.failing), highest.1.max(f.slow));
         }
-        most
+        highest
     }
 }
--- a/crates/yarrowspoke-verdict/tests/power.rs
+++ b/crates/yarrowspoke-verdict/tests/power.rs
@@ -1,9 +1,9 @@
-//! Larger faults are found sooner, and none is never found.
+//! Larger faults are found sooner, and a fault of size zero is never found.
 
 use yarrowspoke_verdict::power::{machines_needed, outcomes_needed, Fleet};
 
 #[test]
-fn larger_faults_need_fewer_outcomes_and_none_is_never_found() {
+fn larger_faults_need_fewer_outcomes_and_a_zero_fault_is_never_found() {
     let effects = [0.02, 0.1, 0.4];
     let n = |fault| outcomes_needed(fault, 0.002, &effects, 5.0, 9.0);
     assert!(n(0.6).unwrap() < n(0.2).unwrap());
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn slowness_needs_more_machines_the_less_there_is_of_it() {
+fn a_smaller_slowdown_needs_more_machines() {
     let fleet = Fleet { tolerance: 1.15, spread: 0.15, earlier: 10.0, faulty_one_in: 4 };
     let n = |times| machines_needed(times, fleet, 0.003, 0.05, 200);
     assert!(n(2.0).unwrap() <= n(1.6).unwrap());
--- a/crates/yarrowspoke-verdict/tests/split.rs
+++ b/crates/yarrowspoke-verdict/tests/split.rs
@@ -1,16 +1,16 @@
-//! What is split never comes to more than the whole.
+//! The parts of an error rate never sum to more than the whole.
 
 use statrs::distribution::{Binomial, DiscreteCDF};
 use yarrowspoke_verdict::split::{front_rate, independent_front_rate, onset_weight};
 
 #[test]
-fn weights_of_time_stay_within_one() {
+fn onset_weights_sum_to_at_most_one() {
     let sum: f64 = (0..1_000_000).map(onset_weight).sum();
     assert!(sum <= 1.0 && sum > 0.9999, "{sum}");
 }
 
 #[test]
-fn given_all_that_is_shared_a_front_may_use_more() {
+fn independent_fronts_may_use_a_larger_rate() {
     for (fronts, votes) in [(1, 1), (3, 1), (163, 13), (180, 90), (5, 5)] {
         let each = independent_front_rate(0.014, fronts, votes);
         let crossed = Binomial::new(each, u64::from(fronts)).unwrap().sf(u64::from(votes) - 1);
