--- a/crates/yarrowspoke/tests/membership.rs
+++ b/crates/yarrowspoke/tests/membership.rs
@@ -10,15 +10,8 @@
 
 /// Settings of front `front_id` of `fronts` that uses sockets, where an open subscription confirms the list
 /// periodically.
-fn subscribed_settings(front_id: u32, fronts: u32, peers: bool) -> Settings {
-    Settings {
-        front_id,
-        fronts,
-        allows_peer_messages: peers,
-        pulls_list: true,
-        list_heartbeats: true,
-        ..settings()
-    }
+fn subscribed_settings(front_id: u32, fronts: u32, allows_peer_messages: bool) -> Settings {
+    Settings { front_id, fronts, allows_peer_messages, pulls_list: true, list_heartbeats: true, ..settings() }
 }
 
 /// Ticks for `span` without requests.
@@ -72,8 +65,8 @@
 #[test]
 fn machine_response_does_not_renew_its_lease() {
     // Guards against taking a response as proof of identity: another process under an old name responds just as well
-    // before discovery has reported that the listed one is gone. In an overload of 300 fronts such responses kept
-    // fronts sending for seconds.
+    // before discovery has reported that the listed one is gone. In a thundering herd of 300 fronts such
+    // responses kept fronts sending for seconds.
     let mut rig = Rig::new(subscribed_settings(0, 2, false), 1);
     rig.list(ListUpdate::Delta, &[]);
     for _ in 0..11 {
