--- a/crates/yarrowspoke/tests/common/mod.rs
+++ b/crates/yarrowspoke/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A front under test: plain settings, and a clock that the test moves.
+//! A front under test with plain settings and a clock that the test advances.
 #![allow(dead_code)]
 
 use yarrowspoke::interface::*;
@@ -7,12 +7,12 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-pub fn class(effect: Idempotency) -> Class {
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         latency_target: 600 * MS,
         deadline: 2 * S,
         latency_target_per_work: 0.0,
-        idempotency: effect,
+        idempotency,
         dedup_scope: DedupScope::All,
         dedup_window: 5 * S,
         late_worth: 0.0,
@@ -21,7 +21,7 @@
     }
 }
 
-/// Class 0 may be repeated, class 1 never, class 2 carries a key.
+/// Returns settings in which class 0 is idempotent, class 1 runs at most once and class 2 is keyed.
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
@@ -81,7 +81,7 @@
     }
 }
 
-pub fn entry(machine: MachineId, build: Build, started: Micros) -> MachineEntry {
+pub fn entry(machine: MachineId, build: Build, started_at: Micros) -> MachineEntry {
     MachineEntry {
         machine,
         zone: 0,
@@ -90,91 +90,96 @@
         cell: 0,
         state: MachineState::Ready,
         weight: 1.0,
-        started_at: started,
+        started_at,
     }
 }
 
-pub fn news(build: Build, stage: u8, phase: Phase, cap: f64) -> RolloutStatus {
+pub fn rollout_status(build: Build, stage: u8, phase: Phase, cap: f64) -> RolloutStatus {
     RolloutStatus { build, stage, phase, is_vote_reply: false, outcome: CallOutcome::Ok, cap, age: 0 }
 }
 
+/// A front with its clock and the actions of its last event.
 pub struct Rig {
     pub front: Front,
     pub now: Micros,
+    /// Id of the next request.
     pub next: RequestId,
-    /// What rules say of the next requests.
+    /// Policy that the operators' rules set for the next requests.
     pub ruled: RequestPolicy,
-    /// What the last event made the front do.
+    /// Actions that the last event resulted in.
     pub did: Vec<Action>,
 }
 
 impl Rig {
-    /// A front with `old` machines of build 1, told that build 1 is released.
-    pub fn new(settings: Settings, old: u32) -> Self {
+    /// Returns a front with `machines` machines of build 1, after the rollout status that build 1 is released.
+    pub fn new(settings: Settings, machines: u32) -> Self {
         let mut did = Vec::new();
         let front = Front::new(7, settings, 100 * S, &mut did);
         let mut rig = Self { front, now: 100 * S, next: 1, ruled: RequestPolicy::default(), did };
-        let entries: Vec<MachineEntry> = (0..old).map(|m| entry(m, 1, 0)).collect();
+        let entries: Vec<MachineEntry> = (0..machines).map(|m| entry(m, 1, 0)).collect();
         rig.list(ListUpdate::Cached, &entries);
-        rig.say(Event::RolloutStatus(news(1, 3, Phase::Released, 1.0)));
+        rig.say(Event::RolloutStatus(rollout_status(1, 3, Phase::Released, 1.0)));
         rig
     }
 
+    /// Passes an event to the front.
     pub fn say(&mut self, event: Event) {
         self.did.clear();
         self.front.handle(self.now, &event, &mut self.did);
     }
 
+    /// Passes a list update with version 0.
     pub fn list(&mut self, kind: ListUpdate, entries: &[MachineEntry]) {
         self.listed(kind, 0, entries);
     }
 
-    /// The same at a version of the list.
+    /// Passes a list update with a version of the list.
     pub fn listed(&mut self, kind: ListUpdate, version: u64, entries: &[MachineEntry]) {
         self.say(Event::List { kind, version, entries });
     }
 
-    /// Discovery moves to the address that `source` names.
-    pub fn move_discovery(&mut self, source: DiscoveryId) {
-        self.say(Event::DiscoveryAddress { discovery_id: source, moved: true });
+    /// Moves discovery to the address that `discovery_id` names.
+    pub fn move_discovery(&mut self, discovery_id: DiscoveryId) {
+        self.say(Event::DiscoveryAddress { discovery_id, moved: true });
     }
 
+    /// Fires the housekeeping timer.
     pub fn tick(&mut self) {
         self.say(Event::Timer { name: 0 });
     }
 
     pub fn request(&mut self, class: u8) -> RequestId {
-        self.keyed(class, 0)
+        self.request_with_key(class, 0)
     }
 
-    pub fn keyed(&mut self, class: u8, key: u64) -> RequestId {
-        self.asked(class, key, 2 * S)
+    pub fn request_with_key(&mut self, class: u8, key: u64) -> RequestId {
+        self.request_with_remaining(class, key, 2 * S)
     }
 
-    /// A request whose client waits for `remaining` more.
-    pub fn asked(&mut self, class: u8, key: u64, remaining: Micros) -> RequestId {
-        self.hinted(class, key, remaining, 50 * MS)
+    /// Sends a request whose client waits for `remaining` from now.
+    pub fn request_with_remaining(&mut self, class: u8, key: u64, remaining: Micros) -> RequestId {
+        self.request_with_work(class, key, remaining, 50 * MS)
     }
 
-    /// The same with the client's guess at the work.
-    pub fn hinted(&mut self, class: u8, key: u64, remaining: Micros, work: Micros) -> RequestId {
+    /// Sends a request with the client's estimate of its work.
+    pub fn request_with_work(&mut self, class: u8, key: u64, remaining: Micros, work: Micros) -> RequestId {
         let id = self.next;
         self.next += 1;
-        let hint = Some(work);
+        let work_hint = Some(work);
         self.say(Event::Request(Arrival {
             id,
             class,
             remaining,
             key,
             tenant: 0,
-            work_hint: hint,
+            work_hint,
             is_retry: false,
             policy: self.ruled,
         }));
         id
     }
 
-    /// Where the last event's first send went, with the request.
+    /// Returns the request and the machine of the first send of the last event.
     pub fn sent(&self) -> Option<(RequestId, MachineId)> {
         self.did.iter().find_map(|a| match a {
             Action::Send { id, machine, .. } => Some((*id, *machine)),
@@ -190,20 +195,21 @@
         self.did.iter().any(|a| matches!(a, Action::Fail { .. }))
     }
 
+    /// Returns the number of final answers of the last event.
     pub fn finals(&self) -> usize {
-        let last = |a: &&Action| matches!(a, Action::Refuse { .. } | Action::Fail { .. });
-        self.did.iter().filter(last).count()
+        let is_final = |a: &&Action| matches!(a, Action::Refuse { .. } | Action::Fail { .. });
+        self.did.iter().filter(is_final).count()
     }
 
     pub fn vote(&self) -> Option<Vote> {
         self.did.iter().find_map(|a| match a {
-            Action::Vote { vote: verdict, .. } => Some(*verdict),
+            Action::Vote { vote, .. } => Some(*vote),
             _ => None,
         })
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: u16, machine: MachineId, ending: CallOutcome) {
-        self.end_after(id, attempt, machine, ending, 50 * MS);
+    pub fn end(&mut self, id: RequestId, attempt: u16, machine: MachineId, outcome: CallOutcome) {
+        self.end_after(id, attempt, machine, outcome, 50 * MS);
     }
 
     pub fn end_after(
@@ -211,39 +217,40 @@
         id: RequestId,
         attempt: u16,
         to: MachineId,
-        ending: CallOutcome,
-        took: Micros,
+        outcome: CallOutcome,
+        duration: Micros,
     ) {
-        let settled = ending == CallOutcome::Ok;
+        let request_done = outcome == CallOutcome::Ok;
         self.say(Event::AttemptEnded(AttemptEnd {
             id,
             attempt,
             machine: to,
-            outcome: ending,
-            request_done: settled,
-            duration: took,
+            outcome,
+            request_done,
+            duration,
             load_report: &[],
         }));
     }
 
-    /// Offers one request of `class`, ends it as `how` says for its machine, and returns the machine.
-    pub fn round(
+    /// Sends one request of `class`, ends its attempts as `result_of` says for their machine, and returns the first
+    /// machine.
+    pub fn run_request(
         &mut self,
         class: u8,
-        how: impl Fn(MachineId) -> (CallOutcome, Micros),
+        result_of: impl Fn(MachineId) -> (CallOutcome, Micros),
     ) -> Option<MachineId> {
         self.request(class);
         let Some((id, machine)) = self.sent() else {
             self.now += 5 * MS;
             return None;
         };
-        let (ending, took) = how(machine);
-        self.now += took.min(5 * MS);
-        self.end_after(id, 0, machine, ending, took);
+        let (outcome, duration) = result_of(machine);
+        self.now += duration.min(5 * MS);
+        self.end_after(id, 0, machine, outcome, duration);
         let mut attempt = 1;
         while let Some((id, next)) = self.sent() {
-            let (ending, took) = how(next);
-            self.end_after(id, attempt, next, ending, took);
+            let (outcome, duration) = result_of(next);
+            self.end_after(id, attempt, next, outcome, duration);
             attempt += 1;
         }
         Some(machine)
--- a/crates/yarrowspoke/tests/guards.rs
+++ b/crates/yarrowspoke/tests/guards.rs
@@ -1,13 +1,13 @@
-//! The five rules, each with tests that fail if its guard is taken out.
+//! The five rules, each with tests that fail if its guard is removed.
 
 mod common;
 use common::*;
 use yarrowspoke::interface::*;
 
-// Rule 1: one final answer in time.
+// Rule 1: every request gets exactly one final answer in time.
 
 #[test]
-fn a_request_that_no_machine_can_take_gets_one_answer_before_its_time_is_up() {
+fn a_request_that_no_machine_can_take_gets_one_answer_before_its_deadline() {
     let mut rig = Rig::new(settings(), 0);
     rig.request(0);
     let mut finals = rig.finals();
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_withdrawn_request_is_never_answered_or_sent_again() {
+fn a_request_whose_client_left_is_never_answered_or_sent_again() {
     let mut rig = Rig::new(settings(), 3);
     let id = rig.request(0);
     let (_, machine) = rig.sent().expect("a ready machine takes it");
@@ -42,44 +42,44 @@
 }
 
 #[test]
-fn what_is_given_up_after_its_last_attempt_is_answered_at_once_with_a_time_to_come_back() {
+fn a_request_whose_last_attempt_failed_is_refused_at_once_with_a_retry_after_time() {
     let mut rig = Rig::new(Settings { max_attempts: 1, ..settings() }, 3);
     let id = rig.request(0);
     let (_, machine) = rig.sent().expect("a ready machine takes it");
     rig.end(id, 0, machine, CallOutcome::Error);
-    assert!(rig.did.iter().any(|a| matches!(a, Action::Refuse { retry_after: backoff, .. } if *backoff > 0)));
+    assert!(rig.did.iter().any(|a| matches!(a, Action::Refuse { retry_after, .. } if *retry_after > 0)));
 }
 
-// Rule 2: no effect twice.
+// Rule 2: no effect runs twice.
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_neither_sent_again_nor_refused() {
-    for ending in [CallOutcome::Error, CallOutcome::Timeout, CallOutcome::Reset, CallOutcome::Cancelled] {
+fn an_at_most_once_request_that_may_have_run_is_neither_sent_again_nor_refused() {
+    for outcome in [CallOutcome::Error, CallOutcome::Timeout, CallOutcome::Reset, CallOutcome::Cancelled] {
         let mut rig = Rig::new(settings(), 3);
         let id = rig.request(1);
         let (_, machine) = rig.sent().expect("a ready machine takes it");
-        rig.end(id, 0, machine, ending);
-        assert!(rig.sent().is_none() && !rig.refused() && rig.failed(), "{ending:?}: {:?}", rig.did);
+        rig.end(id, 0, machine, outcome);
+        assert!(rig.sent().is_none() && !rig.refused() && rig.failed(), "{outcome:?}: {:?}", rig.did);
     }
 }
 
 #[test]
-fn an_unsafe_request_that_never_ran_goes_to_another_machine() {
-    for ending in [CallOutcome::Rejected, CallOutcome::ConnectFailed] {
+fn an_at_most_once_request_that_never_ran_is_sent_to_another_machine() {
+    for outcome in [CallOutcome::Rejected, CallOutcome::ConnectFailed] {
         let mut rig = Rig::new(settings(), 3);
         let id = rig.request(1);
         let (_, machine) = rig.sent().expect("a ready machine takes it");
-        rig.end(id, 0, machine, ending);
-        assert!(rig.sent().is_some_and(|s| s.1 != machine), "{ending:?}");
+        rig.end(id, 0, machine, outcome);
+        assert!(rig.sent().is_some_and(|s| s.1 != machine), "{outcome:?}");
     }
 }
 
 #[test]
-fn a_keyed_request_stays_in_its_cell_and_within_the_memory_of_the_group() {
-    let mut set = settings();
-    set.classes[2].dedup_scope = DedupScope::Cell;
-    set.classes[2].dedup_window = 300 * MS;
-    let mut rig = Rig::new(set, 0);
+fn a_keyed_request_is_repeated_only_in_its_cell_and_within_the_dedup_window() {
+    let mut settings = settings();
+    settings.classes[2].dedup_scope = DedupScope::Cell;
+    settings.classes[2].dedup_window = 300 * MS;
+    let mut rig = Rig::new(settings, 0);
     let mut entries: Vec<MachineEntry> = (0..8).map(|m| entry(m, 1, 0)).collect();
     entries.iter_mut().for_each(|e| e.cell = (e.machine % 4) as u16);
     rig.list(ListUpdate::Snapshot, &entries);
@@ -95,11 +95,11 @@
     let (_, machine) = rig.sent().expect("a ready machine takes it");
     rig.now += 290 * MS;
     rig.end(id, 0, machine, CallOutcome::Error);
-    assert!(rig.sent().is_none() && rig.failed(), "the group may have forgotten: {:?}", rig.did);
+    assert!(rig.sent().is_none() && rig.failed(), "the dedup window may have ended: {:?}", rig.did);
 }
 
 #[test]
-fn no_second_attempt_is_out_where_copies_are_barred() {
+fn no_second_attempt_is_in_flight_where_hedging_is_not_allowed() {
     let mut rig = Rig::new(settings(), 3);
     let id = rig.request(0);
     let (_, machine) = rig.sent().expect("a ready machine takes it");
@@ -112,10 +112,10 @@
     assert!(rig.sent().is_some_and(|s| s.1 != machine));
 }
 
-// Rule 3: drains kept.
+// Rule 3: nothing is sent to draining or removed machines.
 
 #[test]
-fn nothing_goes_to_a_machine_told_to_drain_or_gone() {
+fn nothing_is_sent_to_a_draining_or_removed_machine() {
     for state in [MachineState::Draining, MachineState::Gone] {
         let mut rig = Rig::new(settings(), 2);
         rig.list(ListUpdate::Delta, &[MachineEntry { state, ..entry(0, 1, 0) }]);
@@ -129,23 +129,23 @@
 }
 
 #[test]
-fn a_machine_missing_from_a_whole_list_gets_nothing() {
+fn nothing_is_sent_to_a_machine_missing_from_a_snapshot() {
     let mut rig = Rig::new(settings(), 2);
     rig.list(ListUpdate::Snapshot, &[entry(1, 1, 0)]);
     for _ in 0..20 {
-        assert_eq!(rig.round(0, |_| (CallOutcome::Ok, 50 * MS)), Some(1));
+        assert_eq!(rig.run_request(0, |_| (CallOutcome::Ok, 50 * MS)), Some(1));
     }
 }
 
-// Rule 4: cold machines are not pushed over.
+// Rule 4: cold machines are not overloaded.
 
 #[test]
-fn a_cold_machine_gets_less_than_the_budget_of_its_present_capacity() {
+fn a_cold_machine_gets_less_work_than_its_cold_budget() {
     let mut rig = Rig::new(settings(), 2);
     for _ in 0..200 {
-        rig.round(0, |_| (CallOutcome::Ok, 50 * MS));
+        rig.run_request(0, |_| (CallOutcome::Ok, 50 * MS));
     }
-    // The warm machines then hold their work, so that the cold one always carries least.
+    // The warm machines now keep their attempts in flight, so that the cold one always has the least load.
     rig.list(ListUpdate::Delta, &[entry(9, 1, rig.now)]);
     let mut cold = 0;
     for _ in 0..150 {
@@ -156,9 +156,9 @@
             rig.end(id, 0, 9, CallOutcome::Ok);
         }
     }
-    // Each warm machine was sent some 150 requests in the last fall time; the cold one starts at 30 %, and
-    // stands three times that: the guard allows half of it.
-    assert!(cold > 0, "it gets some work to warm up");
+    // Each warm machine was sent about 150 requests in the last cold budget window. The cold one starts at 30 % of its
+    // capacity and can bear three times that; the guard allows half of it.
+    assert!(cold > 0, "the cold machine gets no work to warm up");
     assert!(cold <= 75, "{cold} of 150 went to the cold machine");
 }
 
@@ -166,97 +166,97 @@
 fn a_front_without_history_sends_a_cold_machine_one_request() {
     let mut rig = Rig::new(settings(), 0);
     rig.list(ListUpdate::Snapshot, &[entry(9, 1, rig.now)]);
-    let sent = (0..20).filter(|_| rig.round(0, |_| (CallOutcome::Ok, 50 * MS)).is_some()).count();
+    let sent = (0..20).filter(|_| rig.run_request(0, |_| (CallOutcome::Ok, 50 * MS)).is_some()).count();
     assert_eq!(sent, 1);
 }
 
-// Rule 5: exposure within the cap.
+// Rule 5: the exposure of a build on trial stays within its cap.
 
-/// A front with one new and nine old machines, all long warm, at `stage` with `cap`.
-fn on_trial(set: Settings, stage: u8, cap: f64) -> Rig {
-    let mut rig = Rig::new(set, 9);
+/// Returns a front with one new and nine old machines, all warm, at `stage` with `cap`.
+fn with_trial(settings: Settings, stage: u8, cap: f64) -> Rig {
+    let mut rig = Rig::new(settings, 9);
     rig.list(ListUpdate::Delta, &[entry(20, 2, 1)]);
-    rig.say(Event::RolloutStatus(news(2, stage, Phase::Trial, cap)));
+    rig.say(Event::RolloutStatus(rollout_status(2, stage, Phase::Trial, cap)));
     rig
 }
 
-fn count_new(rig: &mut Rig, class: u8, n: usize) -> usize {
-    (0..n).filter(|_| rig.round(class, |_| (CallOutcome::Ok, 50 * MS)) == Some(20)).count()
+fn count_sent_to_trial(rig: &mut Rig, class: u8, n: usize) -> usize {
+    (0..n).filter(|_| rig.run_request(class, |_| (CallOutcome::Ok, 50 * MS)) == Some(20)).count()
 }
 
 #[test]
-fn attempts_at_the_trial_stay_within_free_plus_cap_times_requests() {
-    let mut rig = on_trial(settings(), 0, 0.05);
+fn attempts_on_the_trial_build_stay_within_free_attempts_plus_cap_times_requests() {
+    let mut rig = with_trial(settings(), 0, 0.05);
     rig.list(ListUpdate::Snapshot, &[entry(20, 2, 1)]);
-    let sent = count_new(&mut rig, 0, 100);
+    let sent = count_sent_to_trial(&mut rig, 0, 100);
     assert!(sent <= 3 + 5, "{sent} of 100 at a cap of 5 % and 3 free");
-    assert!(sent >= 3, "{sent}: the free attempts are used when nothing else is left");
+    assert!(sent >= 3, "{sent}: the free attempts are not used although no other machine is left");
 }
 
 #[test]
-fn the_count_is_kept_for_each_class_where_asked() {
-    let mut set = settings();
-    set.release.counts_by_class = true;
-    let mut rig = on_trial(set, 2, 0.05);
+fn exposure_is_counted_by_class_where_the_settings_say_so() {
+    let mut settings = settings();
+    settings.release.counts_by_class = true;
+    let mut rig = with_trial(settings, 2, 0.05);
     rig.list(ListUpdate::Snapshot, &[entry(20, 2, 1)]);
     for _ in 0..60 {
         rig.now += MS;
-        rig.request(1); // refused or failed by and by: they count for class 1 only
+        rig.request(1); // refused or failed after a while; counts for class 1 only
     }
-    assert!(count_new(&mut rig, 0, 20) <= 3 + 1);
+    assert!(count_sent_to_trial(&mut rig, 0, 20) <= 3 + 1);
 }
 
 #[test]
-fn a_cap_of_zero_is_obeyed_at_once() {
-    let mut rig = on_trial(settings(), 2, 1.0);
-    assert!(count_new(&mut rig, 0, 50) > 0);
-    rig.say(Event::RolloutStatus(news(2, 2, Phase::RollingBack, 0.0)));
+fn a_cap_of_zero_takes_effect_at_once() {
+    let mut rig = with_trial(settings(), 2, 1.0);
+    assert!(count_sent_to_trial(&mut rig, 0, 50) > 0);
+    rig.say(Event::RolloutStatus(rollout_status(2, 2, Phase::RollingBack, 0.0)));
     rig.list(ListUpdate::Snapshot, &[entry(20, 2, 1)]);
-    assert_eq!(count_new(&mut rig, 0, 20), 0);
+    assert_eq!(count_sent_to_trial(&mut rig, 0, 20), 0);
 }
 
 #[test]
 fn a_build_not_named_yet_counts_as_in_the_first_stage() {
     let mut rig = Rig::new(settings(), 0);
     rig.list(ListUpdate::Snapshot, &[entry(20, 3, 1)]);
-    rig.say(Event::RolloutStatus(news(2, 3, Phase::Released, 1.0)));
-    assert!(count_new(&mut rig, 0, 100) <= 3 + 20);
+    rig.say(Event::RolloutStatus(rollout_status(2, 3, Phase::Released, 1.0)));
+    assert!(count_sent_to_trial(&mut rig, 0, 100) <= 3 + 20);
 }
 
 #[test]
-fn guarded_stages_take_only_what_may_be_repeated() {
-    let mut set = settings();
-    set.release.guarded_stages = 3;
-    let mut rig = on_trial(set, 2, 1.0);
+fn guarded_stages_take_only_idempotent_requests() {
+    let mut settings = settings();
+    settings.release.guarded_stages = 3;
+    let mut rig = with_trial(settings, 2, 1.0);
     rig.list(ListUpdate::Snapshot, &[entry(20, 2, 1)]);
-    assert_eq!(count_new(&mut rig, 1, 20) + count_new(&mut rig, 2, 20), 0);
-    assert!(count_new(&mut rig, 0, 20) > 0);
+    assert_eq!(count_sent_to_trial(&mut rig, 1, 20) + count_sent_to_trial(&mut rig, 2, 20), 0);
+    assert!(count_sent_to_trial(&mut rig, 0, 20) > 0);
 }
 
 #[test]
-fn effects_wait_for_the_third_stage_while_earlier_machines_are_left() {
+fn requests_that_are_not_idempotent_wait_for_the_third_stage_while_earlier_machines_remain() {
     for (stage, open) in [(0, false), (1, false), (2, true)] {
-        let mut rig = on_trial(settings(), stage, 1.0);
-        assert_eq!(count_new(&mut rig, 1, 100) > 0, open, "stage {stage}");
+        let mut rig = with_trial(settings(), stage, 1.0);
+        assert_eq!(count_sent_to_trial(&mut rig, 1, 100) > 0, open, "stage {stage}");
     }
 }
 
 #[test]
-fn a_key_answered_by_the_new_build_goes_to_no_earlier_one() {
-    let mut set = settings();
-    set.release.forward_only = true;
-    let mut rig = on_trial(set, 2, 1.0);
+fn a_key_answered_by_the_new_build_is_sent_to_no_earlier_build() {
+    let mut settings = settings();
+    settings.release.forward_only = true;
+    let mut rig = with_trial(settings, 2, 1.0);
     let key = (1..500)
         .find(|key| {
-            rig.keyed(0, *key);
+            rig.request_with_key(0, *key);
             let (id, machine) = rig.sent().expect("a machine is ready");
             rig.end(id, 0, machine, CallOutcome::Ok);
             machine == 20
         })
         .expect("some key goes to the new build");
     rig.list(ListUpdate::Delta, &[MachineEntry { state: MachineState::Draining, ..entry(20, 2, 1) }]);
-    rig.keyed(0, key);
-    assert_eq!(rig.sent(), None, "it waits");
+    rig.request_with_key(0, key);
+    assert_eq!(rig.sent(), None, "sent to an earlier build");
     let mut finals = 0;
     for _ in 0..40 {
         rig.now += 50 * MS;
@@ -264,5 +264,5 @@
         assert_eq!(rig.sent(), None);
         finals += rig.finals();
     }
-    assert_eq!(finals, 1, "and is refused before its time ends");
+    assert_eq!(finals, 1, "not answered before its deadline");
 }
