--- a/crates/yarrowspoke-front/src/net/list.rs
+++ b/crates/yarrowspoke-front/src/net/list.rs
@@ -1,4 +1,4 @@
-//! Discovery: the list of machines, asked for once or watched.
+//! Client of discovery: the list of machines, fetched once or watched.
 
 use super::http::{Decoder, Encoder, Framing, FromHead, HttpError, RawHead};
 use super::{read_some, with_timeout};
@@ -17,75 +17,76 @@
 use yarrowspoke::interface::{DiscoveryId, ListUpdate, MachineEntry, MachineId, MachineState, Micros};
 use yarrowspoke_settings::Names;
 
-/// Most bytes of a list: some 30,000 machines at about 130 bytes each. Danger: a front whose list is over the limit never
-/// has one, and is never ready where lists are pushed.
+/// Largest list, in bytes: some 30,000 machines at about 130 bytes each. A front whose list exceeds the limit never
+/// gets one, and is never ready where lists are pushed.
 pub const LIST_LIMIT: usize = 4 * 1024 * 1024;
-/// Longest wait of a watch. What a watch that has fallen silent misses counts as told 6 s after that, and the decision
-/// module lets go of a list that was not confirmed for as long: a wait, an answer that does not come and the opening of
-/// another watch have to fit into it.
-const LONGEST_HOLD: Duration = Duration::from_secs(3);
-/// A call that need not wait takes no longer.
-const ANSWER_WITHIN: Duration = Duration::from_secs(2);
-/// How long after its wait an answer may take. Danger: what is missed counts as told when the time above is over,
-/// so half of it has to do for opening the watch anew and for the answer on it.
-const SILENT_WITHIN: Duration = Duration::from_secs(2);
-/// The same after a shorter wait: what is missed counts as told 2 s after it.
-const SILENT_WITHIN_SHORT: Duration = Duration::from_secs(1);
-/// Longest time that connecting may take: one that is down in silence must not hold a call for as long as news may.
-const CONNECT_WITHIN: Duration = Duration::from_secs(1);
-/// Longest pause within an answer, doubled each time it is asked again; one that stops in its midst is only a part.
-const PAUSE_WITHIN: Duration = Duration::from_millis(150);
-/// Spoilt answers in a row after which a call has failed.
-const SPOILT_LIMIT: u32 = 4;
-/// How long opening a watch may take, with all answers that come spoilt. Danger: the module has it opened anew 4 s after
-/// it asked and heard nothing, which begins the count of spoilt ones from the start; so a call that goes on for longer
-/// never fails, and a new process that waits for the call is never ready.
-const OPENED_WITHIN: Duration = Duration::from_secs(3);
-
-/// An answer of discovery.
+/// Longest time for which discovery may hold a watch call. A front counts as notified of what a silent watch misses 6
+/// s after it, and the decision module drops a list that was not confirmed for as long: a held call, a missing
+/// response and the opening of another watch must fit into that time.
+const MAX_HOLD: Duration = Duration::from_secs(3);
+/// Longest time of a call that discovery does not hold.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Longest time for a response after the hold time of its call. A front counts as notified of what is missed once the
+/// 6 s above are over, so half of them must suffice for reopening the watch and for the response on it.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The same after a shorter hold time: a front counts as notified of what is missed 2 s after it.
+const SHORT_HOLD_SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest time for connecting: a host that is down without a reset must not block a call for as long as an update
+/// may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest pause within a response, doubled at each retry; a response that stops midway is truncated.
+const PAUSE_TIMEOUT: Duration = Duration::from_millis(150);
+/// Unreadable responses in a row after which a call has failed.
+const MAX_UNREADABLE_RESPONSES: u32 = 4;
+/// Longest time for opening a watch, including all unreadable responses. The decision module reopens a watch that
+/// gave no response within 4 s, which restarts the count of unreadable responses; so a call that takes longer would
+/// never fail, and a new process that waits for the call would never be ready.
+const OPEN_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// A decoded response of discovery.
 #[derive(Clone, Debug, Default)]
 pub struct ListResponse {
-    /// Version.
+    /// Version of the list.
     pub index: u64,
-    /// The whole list, not just what changed.
+    /// Whether this is the whole list rather than a delta.
     pub is_snapshot: bool,
-    /// Machines.
+    /// Machines of the list, or those that changed.
     pub rows: Vec<Row>,
-    /// Lines that could not be read.
+    /// Number of lines that could not be decoded.
     pub unreadable: usize,
 }
 
-/// Why a call gave nothing.
+/// Why a call to discovery failed.
 #[derive(Debug, Error)]
 pub enum ListError {
     /// The connection failed.
     #[error("connection: {0}")]
     Io(#[from] std::io::Error),
-    /// No answer in time.
-    #[error("no answer in time")]
+    /// No response arrived in time.
+    #[error("no response in time")]
     Timeout,
-    /// The answer is no HTTP.
-    #[error("answer: {0}")]
+    /// The response is not valid HTTP.
+    #[error("response: {0}")]
     Http(#[from] HttpError),
-    /// The connection ended before the answer.
-    #[error("connection ended without an answer")]
+    /// The connection ended before the response.
+    #[error("connection closed before a response")]
     Closed,
-    /// The answer stopped in its midst.
-    #[error("only a part of an answer")]
+    /// The response stopped midway.
+    #[error("response truncated")]
     Truncated,
-    /// Lines of the list cannot be read.
-    #[error("{} lines of the list cannot be read", .0.unreadable)]
+    /// Some lines of the list could not be decoded.
+    #[error("{} lines of the list could not be decoded", .0.unreadable)]
     UnreadableRows(ListResponse),
-    /// Another status than 200.
+    /// The status is not 200.
     #[error("status {0}")]
     Status(u16),
-    /// The list itself cannot be read.
+    /// The list itself could not be decoded.
     #[error("list: {0}")]
     Json(#[from] serde_json::Error),
 }
 
 impl ListError {
-    /// The kind of failure, as metrics count it.
+    /// Returns the kind of failure, as metrics count it.
     pub fn kind(&self) -> &'static str {
         match self {
             Self::Io(_) => "connection",
@@ -97,15 +98,16 @@
         }
     }
 
-    /// The answer came and cannot be used; a call that failed before is not spoilt but refused.
+    /// Returns whether a response arrived but cannot be used; a call that failed earlier counts as failed, not as unreadable.
     fn is_unreadable(&self) -> bool {
         matches!(self, Self::Http(_) | Self::Truncated | Self::UnreadableRows(_) | Self::Json(_))
     }
 }
 
-/// Lines stay text until each is read by itself. Danger: thousands of them taken apart at once are ten times the list.
+/// A list whose lines stay text until each is decoded on its own: thousands of lines decoded at once take ten times
+/// the memory of the list.
 #[derive(Deserialize)]
-struct Wire<'a> {
+struct WireList<'a> {
     index: u64,
     #[serde(default)]
     snapshot: bool,
@@ -114,7 +116,7 @@
 }
 
 #[derive(Deserialize)]
-struct WireRow {
+struct WireMachine {
     name: String,
     #[serde(default)]
     address: String,
@@ -125,7 +127,7 @@
     #[serde(default)]
     group: f64,
     status: String,
-    #[serde(default = "one")]
+    #[serde(default = "default_weight")]
     weight: f64,
     #[serde(default)]
     since_ms: f64,
@@ -133,25 +135,31 @@
     build: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// Decodes a list from its text. A line that cannot be read is left out, so that it does not take the others with it.
+/// Decodes a list from its JSON text. A line that cannot be decoded is skipped, so that the other lines are still
+/// used.
 pub fn decode(json: &[u8], names: &Names) -> Result<ListResponse, serde_json::Error> {
-    let wire: Wire = serde_json::from_slice(json)?;
-    let all = wire.endpoints.len();
-    let read = |raw: &&RawValue| {
-        // Through a value of its own, as a name that comes twice in a line is no reason to leave the line out.
+    let wire: WireList = serde_json::from_slice(json)?;
+    let line_count = wire.endpoints.len();
+    let decode_line = |raw: &&RawValue| {
+        // Decoded through a JSON value, since a repeated field name is no reason to skip the line.
         let line = serde_json::from_str::<serde_json::Value>(raw.get()).ok()?;
-        WireRow::deserialize(&line).ok().and_then(|r| row(&r, names))
+        WireMachine::deserialize(&line).ok().and_then(|r| decode_row(&r, names))
     };
-    let mut rows = Vec::with_capacity(all);
-    rows.extend(wire.endpoints.iter().filter_map(read));
-    Ok(ListResponse { index: wire.index, is_snapshot: wire.snapshot, unreadable: all - rows.len(), rows })
+    let mut rows = Vec::with_capacity(line_count);
+    rows.extend(wire.endpoints.iter().filter_map(decode_line));
+    Ok(ListResponse {
+        index: wire.index,
+        is_snapshot: wire.snapshot,
+        unreadable: line_count - rows.len(),
+        rows,
+    })
 }
 
-fn row(wire: &WireRow, names: &Names) -> Option<Row> {
+fn decode_row(wire: &WireMachine, names: &Names) -> Option<Row> {
     let state = match wire.status.as_str() {
         "up" => MachineState::Ready,
         "draining" => MachineState::Draining,
@@ -162,20 +170,20 @@
     if address.is_none() && state != MachineState::Gone {
         return None;
     }
-    // Danger: other bytes in the place of a word make a machine of no zone or kind, or one that never was.
-    let place = |all: &[String], name: &str| match all.iter().position(|n| n == name) {
+    // Corrupt bytes in place of a name would create a machine of no zone or kind, or one that never existed.
+    let index_of = |all: &[String], name: &str| match all.iter().position(|n| n == name) {
         None if name.is_empty() || all.is_empty() => Some(usize::MAX),
         at => at,
     };
-    let whole = |n: f64| (0.0..=f64::from(u16::MAX)).contains(&n) && n.fract() == 0.0;
-    let named = !wire.name.is_empty() && wire.name.bytes().all(|b| b.is_ascii_graphic());
-    if !named || !whole(wire.build) || !whole(wire.group) {
+    let is_u16 = |n: f64| (0.0..=f64::from(u16::MAX)).contains(&n) && n.fract() == 0.0;
+    let is_valid_name = !wire.name.is_empty() && wire.name.bytes().all(|b| b.is_ascii_graphic());
+    if !is_valid_name || !is_u16(wire.build) || !is_u16(wire.group) {
         return None;
     }
     let entry = MachineEntry {
         machine: machine_id(&wire.name),
-        zone: place(&names.zones, &wire.zone)?.min(usize::from(u16::MAX)) as u16,
-        kind: place(&names.kinds, &wire.kind)?.min(usize::from(u8::MAX)) as u8,
+        zone: index_of(&names.zones, &wire.zone)?.min(usize::from(u16::MAX)) as u16,
+        kind: index_of(&names.kinds, &wire.kind)?.min(usize::from(u8::MAX)) as u8,
         build: wire.build as u16,
         cell: wire.group as u16,
         state,
@@ -185,22 +193,23 @@
     Some(Row { address, entry })
 }
 
-/// The number under which the module knows a machine: the same at every front, as its name is.
+/// Returns the id under which the decision module knows a machine; it is derived from the name and thus the same at
+/// all fronts.
 pub fn machine_id(name: &str) -> MachineId {
-    digest(name)
+    fnv1a(name)
 }
 
-/// FNV-1a.
-fn digest(text: &str) -> u32 {
+/// Computes the 32-bit FNV-1a hash.
+fn fnv1a(text: &str) -> u32 {
     text.bytes().fold(0x811c_9dc5, |h, b| (h ^ u32::from(b)).wrapping_mul(0x0100_0193))
 }
 
-/// The head of an answer.
+/// The head of a response.
 pub struct ResponseHead {
-    /// The status.
+    /// Status code.
     pub status: u16,
-    /// The connection stays.
-    pub keep: bool,
+    /// Whether the connection stays open.
+    pub keep_alive: bool,
 }
 
 impl FromHead for ResponseHead {
@@ -208,12 +217,12 @@
     const STRICT: bool = false;
 
     fn default_framing(&self) -> Option<Framing> {
-        (!self.keep).then_some(Framing::UntilClose)
+        (!self.keep_alive).then_some(Framing::UntilClose)
     }
 
     fn from_head(head: &RawHead, _: &()) -> Result<Self, HttpError> {
         let status = super::machines::parse_status(head)?;
-        Ok(Self { status, keep: head.keeps_alive(head.start_line[0]) })
+        Ok(Self { status, keep_alive: head.keeps_alive(head.start_line[0]) })
     }
 
     fn is_interim(&self) -> bool {
@@ -221,214 +230,222 @@
     }
 }
 
-/// What calls to discovery came to since they were last reported.
+/// Counts of calls to discovery since they were last reported.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
-    /// Calls that opened a watch or fetched the list, and were answered.
+    /// Calls that opened a watch or fetched the list, and succeeded.
     pub opened: u64,
-    /// Answers on a standing watch, with or without changes.
+    /// Responses on an open watch, with or without changes.
     pub renewed: u64,
-    /// Calls that failed, by kind of failure.
+    /// Failed calls by kind of failure.
     pub failed: BTreeMap<&'static str, u64>,
-    /// The longest time that an opening call took to its answer or failure.
+    /// Longest time from the start of an opening call to its response or failure.
     pub slowest_open: Duration,
 }
 
 impl CallCounts {
-    fn note(&mut self, opens: bool, took: Duration, failure: Option<&ListError>) {
+    fn record(&mut self, opens: bool, duration: Duration, failure: Option<&ListError>) {
         match failure {
             Some(error) => *self.failed.entry(error.kind()).or_default() += 1,
             None if opens => self.opened += 1,
             None => self.renewed += 1,
         }
         if opens {
-            self.slowest_open = self.slowest_open.max(took);
+            self.slowest_open = self.slowest_open.max(duration);
         }
     }
 }
 
-/// Discovery as this front asks it.
+/// Client of discovery.
 pub struct Discovery {
     address: Cell<SocketAddr>,
     names: Names,
-    hold: Duration,
+    max_hold: Duration,
     index: Cell<u64>,
-    /// The watch whose answers count.
+    /// The watch whose responses are used.
     current: Cell<SubscriptionId>,
-    /// The version held is not one of discovery's: only the whole list tells what has changed.
-    astray: Cell<bool>,
-    heard: Cell<Option<Instant>>,
+    /// Whether the held version does not match discovery's history, so that only a snapshot shows what has changed.
+    needs_snapshot: Cell<bool>,
+    last_response: Cell<Option<Instant>>,
     counts: RefCell<CallCounts>,
-    /// The last call was answered on the connection of the call before.
-    went_on: Cell<bool>,
-    /// The last call got an answer that could not be used, whatever became of it in the end.
-    spoilt: Cell<bool>,
+    /// Whether the last call was answered on the connection of the call before.
+    reused_connection: Cell<bool>,
+    /// Whether the last call got an unreadable response, however it ended.
+    had_unreadable_response: Cell<bool>,
 }
 
 impl Discovery {
-    /// Discovery at `address`; `index` is the version held, `told_within` how long an unasked list stands, 0 if not
-    /// said.
-    pub fn new(address: SocketAddr, names: Names, index: u64, told_within: Micros) -> Rc<Self> {
-        // A call that waits must end, and the next begin, well before the list counts as told unasked.
-        let hold = match told_within {
-            0 => LONGEST_HOLD,
-            within => super::micros_to_duration(within / 2).min(LONGEST_HOLD),
+    /// Returns a client of discovery at `address`; `index` is the held version, `refresh_interval` how long a list
+    /// remains valid without a new call, 0 if not stated.
+    pub fn new(address: SocketAddr, names: Names, index: u64, refresh_interval: Micros) -> Rc<Self> {
+        // A held call must end, and the next one begin, well before the front counts as notified without a call.
+        let max_hold = match refresh_interval {
+            0 => MAX_HOLD,
+            interval => super::micros_to_duration(interval / 2).min(MAX_HOLD),
         };
         Rc::new(Self {
             address: Cell::new(address),
             names,
-            hold,
+            max_hold,
             index: Cell::new(index),
             current: Cell::new(0),
-            astray: Cell::new(false),
-            heard: Cell::new(None),
+            needs_snapshot: Cell::new(false),
+            last_response: Cell::new(None),
             counts: RefCell::default(),
-            went_on: Cell::new(false),
-            spoilt: Cell::new(false),
+            reused_connection: Cell::new(false),
+            had_unreadable_response: Cell::new(false),
         })
     }
 
-    /// The version held.
+    /// Returns the held version.
     pub fn index(&self) -> u64 {
         self.index.get()
     }
 
-    /// What calls came to since this was last asked.
+    /// Returns the counts of calls since the last report and resets them.
     pub fn take_counts(&self) -> CallCounts {
         self.counts.take()
     }
 
-    /// When it last answered with what can be used.
+    /// Returns when discovery last gave a usable response.
     pub fn last_answered_at(&self) -> Option<Instant> {
-        self.heard.get()
+        self.last_response.get()
     }
 
-    /// Where it is.
+    /// Returns the address of discovery.
     pub fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    /// Discovery is at `address` from now on; false if it was before.
+    /// Sets the address of discovery; returns whether it has changed.
     pub fn set_address(&self, address: SocketAddr) -> bool {
         self.address.replace(address) != address
     }
 
-    /// Names the source that the list comes from towards other fronts.
+    /// Returns the id of this discovery instance, as used in messages to other fronts.
     pub fn discovery_id(&self) -> DiscoveryId {
-        digest(&self.address.get().to_string())
+        fnv1a(&self.address.get().to_string())
     }
 
-    /// No watch counts that has begun before; the number of one that begins now.
+    /// Invalidates all earlier watches; returns the id for a new one.
     pub fn supersede_watches(&self) -> SubscriptionId {
         self.current.set(self.current.get() + 1);
         self.current.get()
     }
 
-    /// Whether the answers of this watch count.
+    /// Returns whether the responses of this watch are used.
     pub fn is_current(&self, watch: SubscriptionId) -> bool {
         self.current.get() == watch
     }
 
-    /// Asks once for the whole list.
+    /// Fetches the whole list once.
     pub async fn fetch(self: Rc<Self>, to: Sender<Input>) {
-        let (watch, begun) = (self.current.get(), Instant::now());
-        let answer = self.call(watch, &mut None, "/discovery/hosts", ANSWER_WITHIN).await;
-        self.note_call(true, begun, answer.as_ref().err());
-        let news = match answer {
+        let (watch, started_at) = (self.current.get(), Instant::now());
+        let response = self.call(watch, &mut None, "/discovery/hosts", RESPONSE_TIMEOUT).await;
+        self.record_call(true, started_at, response.as_ref().err());
+        let message = match response {
             Ok(list) => {
                 let ListResponse { index, rows, .. } = list;
                 ListMessage { watch, kind: ListUpdate::Snapshot, index, needs_snapshot: false, rows }
             }
-            Err(e) => self.failed(watch, &e),
+            Err(e) => self.failure_message(watch, &e),
         };
-        let _ = to.send(Input::ListUpdated(news)).await;
+        let _ = to.send(Input::ListUpdated(message)).await;
     }
 
-    /// Watches the list until a call fails: the first call answers at once, further ones wait for news. One that
-    /// falls silent is opened anew at once, and fails only if that does. One that another has taken the place of hands over
-    /// the answer that it waits for, and ends.
+    /// Watches the list until a call fails: the first call returns at once, further ones are held until there is an
+    /// update. A watch that falls silent is reopened at once, and fails only if that does. A superseded watch still
+    /// delivers the response that it waits for, and then ends.
     pub async fn watch(self: Rc<Self>, watch: SubscriptionId, to: Sender<Input>) {
-        let (mut line, mut opens) = (None, true);
-        let (mut from, mut whole) = (self.index.get(), self.astray.get());
+        let (mut connection, mut opens) = (None, true);
+        let (mut from, mut wants_snapshot) = (self.index.get(), self.needs_snapshot.get());
         loop {
-            let (hold, limit) = match opens || whole {
-                true => (Duration::ZERO, ANSWER_WITHIN),
-                false if self.hold < LONGEST_HOLD => (self.hold, self.hold + SILENT_WITHIN_SHORT),
-                false => (self.hold, self.hold + SILENT_WITHIN),
+            let (hold, limit) = match opens || wants_snapshot {
+                true => (Duration::ZERO, RESPONSE_TIMEOUT),
+                false if self.max_hold < MAX_HOLD => {
+                    (self.max_hold, self.max_hold + SHORT_HOLD_SILENCE_TIMEOUT)
+                }
+                false => (self.max_hold, self.max_hold + SILENCE_TIMEOUT),
             };
-            let target = match whole {
+            let target = match wants_snapshot {
                 true => "/discovery/hosts".to_owned(),
                 false => format!("/discovery/hosts?from={from}&hold_ms={}", hold.as_millis()),
             };
-            let begun = Instant::now();
-            let asked = self.call(watch, &mut line, &target, limit);
-            let answer = match hold.is_zero() {
-                true => with_timeout(OPENED_WITHIN, asked).await.unwrap_or(Err(ListError::Timeout)),
-                false => asked.await,
+            let started_at = Instant::now();
+            let call = self.call(watch, &mut connection, &target, limit);
+            let response = match hold.is_zero() {
+                true => with_timeout(OPEN_TIMEOUT, call).await.unwrap_or(Err(ListError::Timeout)),
+                false => call.await,
             };
-            self.note_call(hold.is_zero(), begun, answer.as_ref().err());
-            let list = match answer {
+            self.record_call(hold.is_zero(), started_at, response.as_ref().err());
+            let list = match response {
                 Ok(list) => list,
                 _ if !self.is_current(watch) => return,
                 Err(ListError::Timeout) if !opens => {
-                    log::warn!("discovery: the watch has fallen silent; it is opened anew");
-                    (line, opens) = (None, true);
+                    log::warn!("discovery: the watch has fallen silent; reopening it");
+                    (connection, opens) = (None, true);
                     continue;
                 }
                 Err(e) => {
-                    // A watch that discovery itself ends has told all there was until then; a list that is astray is not it.
-                    if matches!(e, ListError::Status(_)) && !opens && !whole && self.went_on.get() {
+                    // A watch that discovery itself ends has delivered all updates until then, unless the held
+                    // version needs a snapshot.
+                    if matches!(e, ListError::Status(_))
+                        && !opens
+                        && !wants_snapshot
+                        && self.reused_connection.get()
+                    {
                         let _ = to.send(Input::ListConfirmed(watch, from)).await;
                     }
-                    let _ = to.send(Input::ListUpdated(self.failed(watch, &e))).await;
+                    let _ = to.send(Input::ListUpdated(self.failure_message(watch, &e))).await;
                     return;
                 }
             };
-            let (index, went_back) = (list.index, !whole && !list.is_snapshot && list.index < from);
-            if went_back {
-                log::warn!("discovery: version {index} after {from}; the whole list is asked for");
+            let (index, version_went_back) =
+                (list.index, !wants_snapshot && !list.is_snapshot && list.index < from);
+            if version_went_back {
+                log::warn!("discovery: version {index} after {from}; requesting a snapshot");
             }
-            let input = match opens || list.is_snapshot || went_back || !list.rows.is_empty() {
+            let input = match opens || list.is_snapshot || version_went_back || !list.rows.is_empty() {
                 true => {
                     let kind = if list.is_snapshot { ListUpdate::Snapshot } else { ListUpdate::Delta };
                     Input::ListUpdated(ListMessage {
                         watch,
                         kind,
                         index,
-                        needs_snapshot: went_back,
+                        needs_snapshot: version_went_back,
                         rows: list.rows,
                     })
                 }
                 false => Input::ListConfirmed(watch, index),
             };
             let _ = to.send(input).await;
-            // Danger: what was written to a watch counts as told, though the front has turned elsewhere meanwhile; so one
-            // that does not count any more hands over its last answer all the same.
+            // The front counts as notified of what was written to a watch, even if it has moved to another one
+            // meanwhile; so a superseded watch still delivers its last response.
             if !self.is_current(watch) {
                 return;
             }
-            (from, whole, opens) = (index, went_back, false);
+            (from, wants_snapshot, opens) = (index, version_went_back, false);
         }
     }
 
-    /// The front holds this version from now on. Danger: taken on before its lines are, a version whose watch is ended in
-    /// between is never asked for again, and its changes are lost.
+    /// Sets the held version. If it were set before its lines are applied, the changes of a version whose watch ends
+    /// in between would never be requested again and would be lost.
     pub fn set_version(&self, index: u64, needs_snapshot: bool) {
         self.index.set(index);
-        self.astray.set(needs_snapshot);
+        self.needs_snapshot.set(needs_snapshot);
     }
 
-    /// Counts a call and writes down how it ended, and at which version it left this front.
-    fn note_call(&self, opens: bool, begun: Instant, failure: Option<&ListError>) {
-        let took = begun.elapsed();
-        let millis = took.as_millis() as u64;
+    /// Counts a call and logs its result and the version that the front held.
+    fn record_call(&self, opens: bool, started_at: Instant, failure: Option<&ListError>) {
+        let duration = started_at.elapsed();
+        let millis = duration.as_millis() as u64;
         let held = self.index.get();
-        self.counts.borrow_mut().note(opens, took, failure);
+        self.counts.borrow_mut().record(opens, duration, failure);
         match failure {
             Some(error) => {
                 let ending = error.kind();
                 let why = error.to_string();
-                let age = self.heard.get().map(|at| at.elapsed().as_millis() as u64);
+                let age = self.last_response.get().map(|at| at.elapsed().as_millis() as u64);
                 log::warn!(opens, ending, why, took_ms = millis, held, age_ms:? = age; "discovery: call failed");
             }
             None if opens => log::info!(held, took_ms = millis; "discovery: watch opened"),
@@ -436,59 +453,67 @@
         }
     }
 
-    /// One call, made again where its answer comes spoilt. Danger: a watch that stops at noise goes without
-    /// the list for seconds, and what is told meanwhile counts as told; so it is asked again at once, from the
-    /// version held.
+    /// Makes one call, repeated while its response is unreadable. A watch that ended at the first corrupt response
+    /// would leave the front without the list for seconds, while the front counts as notified; so the call is retried
+    /// at once, from the held version.
     async fn call(
         &self,
         watch: SubscriptionId,
-        line: &mut Option<Async<TcpStream>>,
+        connection: &mut Option<Async<TcpStream>>,
         target: &str,
         limit: Duration,
     ) -> Result<ListResponse, ListError> {
-        let mut spoilt = 0;
-        self.spoilt.set(false);
+        let mut unreadable_responses = 0;
+        self.had_unreadable_response.set(false);
         loop {
-            match self.call_once(watch, line, target, limit, PAUSE_WITHIN * (1 << spoilt)).await {
-                Err(e) if e.is_unreadable() && spoilt < SPOILT_LIMIT && self.is_current(watch) => {
-                    spoilt += 1;
-                    self.spoilt.set(true);
-                    log::warn!("discovery: {e}; asked again");
+            match self
+                .call_once(watch, connection, target, limit, PAUSE_TIMEOUT * (1 << unreadable_responses))
+                .await
+            {
+                Err(e)
+                    if e.is_unreadable()
+                        && unreadable_responses < MAX_UNREADABLE_RESPONSES
+                        && self.is_current(watch) =>
+                {
+                    unreadable_responses += 1;
+                    self.had_unreadable_response.set(true);
+                    log::warn!("discovery: {e}; retrying");
                 }
-                // Lines that stay unreadable must not take the others with them, nor remove what they name.
+                // Lines that remain unreadable must neither invalidate the others nor remove the machines that they
+                // name.
                 Err(ListError::UnreadableRows(list)) => {
                     return Ok(ListResponse { is_snapshot: false, ..list })
                 }
-                ended => {
-                    if ended.is_ok() && self.is_current(watch) {
-                        self.heard.set(Some(Instant::now()));
+                result => {
+                    if result.is_ok() && self.is_current(watch) {
+                        self.last_response.set(Some(Instant::now()));
                     }
-                    return ended;
+                    return result;
                 }
             }
         }
     }
 
-    /// What the module is told of a call that failed.
-    fn failed(&self, watch: SubscriptionId, why: &ListError) -> ListMessage {
-        let garbled = why.is_unreadable() || self.spoilt.get();
-        let kind = if garbled { ListUpdate::Unreadable } else { ListUpdate::Failed };
+    /// Returns the message to the driver for a failed call.
+    fn failure_message(&self, watch: SubscriptionId, why: &ListError) -> ListMessage {
+        let is_unreadable = why.is_unreadable() || self.had_unreadable_response.get();
+        let kind = if is_unreadable { ListUpdate::Unreadable } else { ListUpdate::Failed };
         ListMessage { watch, kind, index: 0, needs_snapshot: false, rows: Vec::new() }
     }
 
     async fn call_once(
         &self,
         watch: SubscriptionId,
-        line: &mut Option<Async<TcpStream>>,
+        connection: &mut Option<Async<TcpStream>>,
         target: &str,
         limit: Duration,
-        pause: Duration,
+        pause_timeout: Duration,
     ) -> Result<ListResponse, ListError> {
-        let asked = async {
-            self.went_on.set(line.is_some());
-            if let Some(kept) = line.take() {
-                // A kept connection may have been closed meanwhile; asking again is harmless.
-                match self.ask(kept, target, pause).await {
+        let call = async {
+            self.reused_connection.set(connection.is_some());
+            if let Some(kept) = connection.take() {
+                // A kept connection may have been closed meanwhile; repeating the call is harmless.
+                match self.request(kept, target, pause_timeout).await {
                     Err(ListError::Io(_) | ListError::Closed) => {}
                     other => return other,
                 }
@@ -496,21 +521,21 @@
             if !self.is_current(watch) {
                 return Err(ListError::Closed);
             }
-            self.went_on.set(false);
+            self.reused_connection.set(false);
             let connecting = Async::<TcpStream>::connect(self.address.get());
-            let stream = with_timeout(CONNECT_WITHIN, connecting).await.ok_or(ListError::Timeout)??;
-            self.ask(stream, target, pause).await
+            let stream = with_timeout(CONNECT_TIMEOUT, connecting).await.ok_or(ListError::Timeout)??;
+            self.request(stream, target, pause_timeout).await
         };
-        let (list, kept) = with_timeout(limit, asked).await.ok_or(ListError::Timeout)??;
-        *line = kept;
+        let (list, kept) = with_timeout(limit, call).await.ok_or(ListError::Timeout)??;
+        *connection = kept;
         Ok(list)
     }
 
-    async fn ask(
+    async fn request(
         &self,
         mut stream: Async<TcpStream>,
         target: &str,
-        pause: Duration,
+        pause_timeout: Duration,
     ) -> Result<(ListResponse, Option<Async<TcpStream>>), ListError> {
         stream.get_ref().set_nodelay(true)?;
         let request = Encoder::new(format_args!("GET {target} HTTP/1.1"))
@@ -519,10 +544,10 @@
         stream.write_all(&request).await?;
         let mut decoder = Decoder::<ResponseHead>::new(LIST_LIMIT);
         loop {
-            let begun = !decoder.is_idle();
+            let has_begun = !decoder.is_idle();
             let reading = read_some(&mut stream, |bytes| decoder.feed(bytes));
-            let n = match begun {
-                true => with_timeout(pause, reading).await.ok_or(ListError::Truncated)??,
+            let n = match has_begun {
+                true => with_timeout(pause_timeout, reading).await.ok_or(ListError::Truncated)??,
                 false => reading.await?,
             };
             let message = if n == 0 { decoder.finish()? } else { decoder.next_message()? };
@@ -530,7 +555,7 @@
                 if head.status != 200 {
                     return Err(ListError::Status(head.status));
                 }
-                let keep = n > 0 && head.keep && decoder.is_idle();
+                let keep = n > 0 && head.keep_alive && decoder.is_idle();
                 let list = decode(&body, &self.names)?;
                 if list.unreadable > 0 {
                     return Err(ListError::UnreadableRows(list));
