--- a/crates/yarrowspoke-front/src/net/fleet.rs
+++ b/crates/yarrowspoke-front/src/net/fleet.rs
@@ -1,4 +1,4 @@
-//! Links of the fleet: messages between fronts and planners as bodies of HTTP/1.1, by the reader and writer that are there.
+//! Links of the fleet: messages between fronts and planners, sent as HTTP/1.1 bodies with the codec of [`super::http`].
 
 use super::http::{Decoder, Encoder, Framing, FromHead, HttpError, RawHead};
 use super::list::ResponseHead;
@@ -14,42 +14,42 @@
 use thiserror::Error;
 use yarrowspoke_fleet::wire::BODY_LIMIT;
 
-/// Most connections that a planner holds; a fleet has a few hundred members.
-const CONNECTIONS: usize = 2_048;
-/// How long a connection may stand idle, and how long a message may take to come or go.
-const IDLE_WITHIN: Duration = Duration::from_secs(60);
-const MESSAGE_WITHIN: Duration = Duration::from_secs(5);
-/// Pause after accepting has failed, or while all connections are taken.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(50);
-/// Most bytes of an answer, an audit of weeks among them.
-const ANSWER_LIMIT: usize = 256 * 1024 * 1024;
+/// Most connections that a planner accepts; a fleet has a few hundred members.
+const MAX_CONNECTIONS: usize = 2_048;
+/// Longest idle time of a connection, and longest time for receiving or sending a message.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
+const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Pause after an accept has failed, or while the connection limit is reached.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Largest response in bytes; an audit may cover weeks.
+const RESPONSE_LIMIT: usize = 256 * 1024 * 1024;
 
-/// Why a link gave nothing.
+/// Why an exchange over a link failed.
 #[derive(Debug, Error)]
 pub enum LinkError {
     /// The connection failed.
     #[error("connection: {0}")]
     Io(#[from] std::io::Error),
-    /// What came is no HTTP.
-    #[error("answer: {0}")]
+    /// The response is not valid HTTP.
+    #[error("response: {0}")]
     Http(#[from] HttpError),
-    /// The connection ended before the answer.
-    #[error("connection ended without an answer")]
+    /// The connection closed before the response.
+    #[error("connection closed before a response")]
     Closed,
-    /// It was refused.
+    /// The message was rejected, with this status and reason.
     #[error("status {0}: {1}")]
     Status(u16, String),
 }
 
-/// Sends one message on a kept connection or a new one; the answer's body.
+/// Sends one message on a kept connection or a new one and returns the body of the response.
 pub async fn send_message(
-    line: &mut Option<Async<TcpStream>>,
+    connection: &mut Option<Async<TcpStream>>,
     address: SocketAddr,
     (method, target): (&str, &str),
     body: &[u8],
 ) -> Result<Vec<u8>, LinkError> {
-    // Messages are numbered: one that comes twice is taken once, so a kept connection that was closed is no matter.
-    let mut stream = match line.take() {
+    // Messages are numbered and a duplicate is applied once, so a kept connection that was closed can be replaced safely.
+    let mut stream = match connection.take() {
         Some(kept) => kept,
         None => Async::<TcpStream>::connect(address).await?,
     };
@@ -59,14 +59,14 @@
         .field("Content-Length", format_args!("{}", body.len()))
         .body(body);
     stream.write_all(&request).await?;
-    let mut decoder = Decoder::<ResponseHead>::new(ANSWER_LIMIT);
+    let mut decoder = Decoder::<ResponseHead>::new(RESPONSE_LIMIT);
     loop {
         let n = read_some(&mut stream, |bytes| decoder.feed(bytes)).await?;
         let message = if n == 0 { decoder.finish()? } else { decoder.next_message()? };
         match message {
             Some((head, body)) => {
-                if n > 0 && head.keep && decoder.is_idle() {
-                    *line = Some(stream);
+                if n > 0 && head.keep_alive && decoder.is_idle() {
+                    *connection = Some(stream);
                 }
                 return match head.status {
                     200 => Ok(body),
@@ -81,13 +81,13 @@
     }
 }
 
-/// What a planner was asked, decoded.
+/// The decoded head of a message to a planner.
 pub struct LinkHead {
-    /// The method.
+    /// HTTP method.
     pub method: String,
-    /// Path and query.
+    /// Path and query of the request.
     pub target: String,
-    keep: bool,
+    keep_alive: bool,
 }
 
 impl FromHead for LinkHead {
@@ -103,81 +103,85 @@
         if !matches!(version, "HTTP/1.1" | "HTTP/1.0") || !target.starts_with('/') {
             return Err(HttpError::StartLine);
         }
-        Ok(Self { method: method.to_owned(), target: target.to_owned(), keep: head.keeps_alive(version) })
+        Ok(Self {
+            method: method.to_owned(),
+            target: target.to_owned(),
+            keep_alive: head.keeps_alive(version),
+        })
     }
 }
 
-/// An answer of a planner.
+/// A planner's response.
 pub struct LinkResponse {
-    /// The status.
+    /// Status code.
     pub status: u16,
-    /// The body.
+    /// Body of the response.
     pub body: Vec<u8>,
 }
 
 impl LinkResponse {
-    /// A body that is right.
+    /// Returns a successful response with this body.
     pub fn ok(body: Vec<u8>) -> Self {
         Self { status: 200, body }
     }
 
-    /// Why it is refused.
-    pub fn error(status: u16, why: impl ToString) -> Self {
-        Self { status, body: format!("{}\n", why.to_string()).into_bytes() }
+    /// Returns an error response that states the reason.
+    pub fn error(status: u16, reason: impl ToString) -> Self {
+        Self { status, body: format!("{}\n", reason.to_string()).into_bytes() }
     }
 
     fn encode(&self, keep: bool) -> Vec<u8> {
-        let words = match self.status {
+        let reason = match self.status {
             200 => "OK",
             404 => "Not Found",
             _ => "Bad Request",
         };
-        let head = Encoder::new(format_args!("HTTP/1.1 {} {words}", self.status))
+        let head = Encoder::new(format_args!("HTTP/1.1 {} {reason}", self.status))
             .field("Content-Length", format_args!("{}", self.body.len()));
         let head = if keep { head } else { head.field("Connection", format_args!("close")) };
         head.body(&self.body)
     }
 }
 
-/// What a planner answers to a message.
+/// Handler that computes a planner's response to a message.
 pub type LinkHandler = Rc<dyn Fn(&LinkHead, &[u8]) -> LinkResponse>;
 
-/// Serves the links of a planner for ever. A message that can't be read or is refused ends nothing but itself.
-pub async fn serve(listener: Async<TcpListener>, executor: Rc<LocalExecutor<'static>>, answer: LinkHandler) {
-    let held = Rc::new(Cell::new(0usize));
+/// Serves the links of a planner; returns only if the listener ends. A message that is unreadable or rejected affects no other message.
+pub async fn serve(listener: Async<TcpListener>, executor: Rc<LocalExecutor<'static>>, handler: LinkHandler) {
+    let connection_count = Rc::new(Cell::new(0usize));
     let mut incoming = Box::pin(listener.incoming());
     loop {
-        if held.get() >= CONNECTIONS {
-            Timer::after(ACCEPT_AGAIN).await;
+        if connection_count.get() >= MAX_CONNECTIONS {
+            Timer::after(ACCEPT_RETRY_DELAY).await;
             continue;
         }
         match incoming.next().await {
             Some(Ok(stream)) => {
-                held.set(held.get() + 1);
-                let (held, answer) = (Rc::clone(&held), Rc::clone(&answer));
+                connection_count.set(connection_count.get() + 1);
+                let (connection_count, handler) = (Rc::clone(&connection_count), Rc::clone(&handler));
                 let served = AssertUnwindSafe(async move {
-                    let _ = converse(stream, &*answer).await;
+                    let _ = serve_connection(stream, &*handler).await;
                 });
                 let task = async move {
                     if served.catch_unwind().await.is_err() {
-                        log::error!("a link ended by a panic");
+                        log::error!("link connection ended by a panic");
                     }
-                    held.set(held.get() - 1);
+                    connection_count.set(connection_count.get() - 1);
                 };
                 executor.spawn(task).detach();
             }
             Some(Err(e)) => {
                 log::warn!("links: accept: {e}");
-                Timer::after(ACCEPT_AGAIN).await;
+                Timer::after(ACCEPT_RETRY_DELAY).await;
             }
             None => return,
         }
     }
 }
 
-async fn converse(
+async fn serve_connection(
     mut stream: Async<TcpStream>,
-    answer: &dyn Fn(&LinkHead, &[u8]) -> LinkResponse,
+    handler: &dyn Fn(&LinkHead, &[u8]) -> LinkResponse,
 ) -> Result<(), LinkError> {
     stream.get_ref().set_nodelay(true)?;
     let mut decoder = Decoder::<LinkHead>::new(BODY_LIMIT);
@@ -185,7 +189,7 @@
         let (head, body) = match decoder.next_message() {
             Ok(Some(message)) => message,
             Ok(None) => {
-                let limit = if decoder.is_idle() { IDLE_WITHIN } else { MESSAGE_WITHIN };
+                let limit = if decoder.is_idle() { IDLE_TIMEOUT } else { MESSAGE_TIMEOUT };
                 let read = with_timeout(limit, read_some(&mut stream, |bytes| decoder.feed(bytes))).await;
                 match read {
                     Some(Ok(n)) if n > 0 => continue,
@@ -194,13 +198,13 @@
             }
             Err(e) => {
                 let bytes = LinkResponse::error(e.status(), e).encode(false);
-                with_timeout(MESSAGE_WITHIN, stream.write_all(&bytes)).await.unwrap_or(Ok(()))?;
+                with_timeout(MESSAGE_TIMEOUT, stream.write_all(&bytes)).await.unwrap_or(Ok(()))?;
                 return Ok(());
             }
         };
-        let bytes = answer(&head, &body).encode(head.keep);
-        match with_timeout(MESSAGE_WITHIN, stream.write_all(&bytes)).await {
-            Some(Ok(())) if head.keep => {}
+        let bytes = handler(&head, &body).encode(head.keep_alive);
+        match with_timeout(MESSAGE_TIMEOUT, stream.write_all(&bytes)).await {
+            Some(Ok(())) if head.keep_alive => {}
             _ => return Ok(()),
         }
     }
--- a/crates/yarrowspoke-front/src/net/mod.rs
+++ b/crates/yarrowspoke-front/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Everything that is spoken on sockets, a module for each peer.
+//! Network protocols of a front, one module per kind of remote party.
 
 pub mod clients;
 pub mod fleet;
@@ -17,36 +17,36 @@
 use std::task::{ready, Poll};
 use std::time::Duration;
 
-/// Bytes asked of a socket at once.
+/// Largest number of bytes read from a socket at once.
 const READ_SIZE: usize = 4 * 1024;
 
-/// Reads what has come, into `sink`; 0 at the end of the stream.
+/// Reads available bytes into `sink` and returns their number, 0 at the end of the stream.
 ///
-/// Danger: a chunk in each waiting task is memory for every silent connection, several times over where reads are
-/// raced against something; so it stands on the stack only while bytes are taken in.
+/// A buffer in each waiting task would cost memory for every silent connection, several times over where reads are raced
+/// against other futures; so the buffer is on the stack, and only while bytes are being read.
 pub async fn read_some<R>(stream: &mut R, mut sink: impl FnMut(&[u8])) -> io::Result<usize>
 where
     R: AsyncRead + Unpin,
 {
     poll_fn(|context| {
         let mut chunk = [0; READ_SIZE];
-        let n = ready!(Pin::new(&mut *stream).poll_read(context, &mut chunk))?;
-        sink(&chunk[..n]);
-        Poll::Ready(Ok(n))
+        let count = ready!(Pin::new(&mut *stream).poll_read(context, &mut chunk))?;
+        sink(&chunk[..count]);
+        Poll::Ready(Ok(count))
     })
     .await
 }
 
-/// What `work` gives, or `None` once `span` is over.
-pub async fn with_timeout<T>(span: Duration, work: impl Future<Output = T>) -> Option<T> {
-    let over = async {
-        Timer::after(span).await;
+/// Returns the output of `work`, or `None` after `timeout`.
+pub async fn with_timeout<T>(timeout: Duration, work: impl Future<Output = T>) -> Option<T> {
+    let expired = async {
+        Timer::after(timeout).await;
         None
     };
-    future::or(async { Some(work.await) }, over).await
+    future::or(async { Some(work.await) }, expired).await
 }
 
-/// Microseconds as a span of the standard library.
+/// Converts microseconds to a [`Duration`].
 pub fn micros_to_duration(micros: u64) -> Duration {
     Duration::from_micros(micros)
 }
--- a/crates/yarrowspoke-front/src/net/peers.rs
+++ b/crates/yarrowspoke-front/src/net/peers.rs
@@ -1,4 +1,4 @@
-//! Other fronts: datagrams, unreliable and untrusted.
+//! Datagrams between fronts; they are unreliable and untrusted.
 
 use crate::input::Input;
 use async_channel::Sender;
@@ -7,60 +7,60 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
 
-/// Most bytes of a datagram.
+/// Largest datagram, in bytes.
 const DATAGRAM_LIMIT: usize = 256;
 
-/// The other fronts of the tier.
+/// Socket for messages to and from the other fronts of the tier.
 pub struct Peers {
     socket: Async<UdpSocket>,
-    each: RefCell<Vec<SocketAddr>>,
-    all: Cell<Option<SocketAddr>>,
+    addresses: RefCell<Vec<SocketAddr>>,
+    broadcast: Cell<Option<SocketAddr>>,
 }
 
 impl Peers {
-    /// Binds the socket at which messages arrive.
+    /// Binds the socket that receives messages; `addresses` are the other fronts, `broadcast` reaches all of them.
     pub fn bind(
         listen: SocketAddr,
-        each: Vec<SocketAddr>,
-        all: Option<SocketAddr>,
+        addresses: Vec<SocketAddr>,
+        broadcast: Option<SocketAddr>,
     ) -> std::io::Result<Rc<Self>> {
         let socket = Async::<UdpSocket>::bind(listen)?;
-        Ok(Rc::new(Self { socket, each: RefCell::new(each), all: Cell::new(all) }))
+        Ok(Rc::new(Self { socket, addresses: RefCell::new(addresses), broadcast: Cell::new(broadcast) }))
     }
 
-    /// From now on they are reached elsewhere.
-    pub fn set_addresses(&self, each: Vec<SocketAddr>, all: Option<SocketAddr>) {
-        self.each.replace(each);
-        self.all.set(all);
+    /// Replaces the addresses of the other fronts.
+    pub fn set_addresses(&self, addresses: Vec<SocketAddr>, broadcast: Option<SocketAddr>) {
+        self.addresses.replace(addresses);
+        self.broadcast.set(broadcast);
     }
 
-    /// Sends to one front or to all; what cannot be sent at once is lost, as datagrams may be.
+    /// Sends to one front or to all; a datagram that cannot be sent at once is dropped.
     pub fn send(&self, peer: Option<u16>, bytes: &[u8]) {
-        let to = match peer {
-            Some(n) => self.each.borrow().get(usize::from(n)).copied(),
-            None => self.all.get(),
+        let address = match peer {
+            Some(index) => self.addresses.borrow().get(usize::from(index)).copied(),
+            None => self.broadcast.get(),
         };
-        let sent = match to {
-            Some(to) if bytes.len() <= DATAGRAM_LIMIT => self.socket.get_ref().send_to(bytes, to),
+        let result = match address {
+            Some(address) if bytes.len() <= DATAGRAM_LIMIT => self.socket.get_ref().send_to(bytes, address),
             _ => Err(std::io::ErrorKind::InvalidInput.into()),
         };
-        if let Err(e) = sent {
+        if let Err(e) = result {
             log::debug!("peer message not sent: {e}");
         }
     }
 
-    /// Hands on what arrives; strangers and over-long datagrams are left out.
+    /// Forwards received messages; datagrams from unknown senders and oversized ones are ignored.
     pub async fn listen(self: Rc<Self>, to: Sender<Input>) {
         let mut bytes = [0; DATAGRAM_LIMIT + 1];
         loop {
             match self.socket.recv_from(&mut bytes).await {
-                Ok((n, from)) if n <= DATAGRAM_LIMIT => {
-                    let known = self.each.borrow().iter().position(|p| *p == from);
-                    if let Some(peer) = known {
-                        let _ = to.send(Input::PeerMessage(peer as u32, bytes[..n].to_vec())).await;
+                Ok((len, from)) if len <= DATAGRAM_LIMIT => {
+                    let sender = self.addresses.borrow().iter().position(|p| *p == from);
+                    if let Some(peer) = sender {
+                        let _ = to.send(Input::PeerMessage(peer as u32, bytes[..len].to_vec())).await;
                     }
                 }
-                Ok(_) => log::debug!("peer message too long"),
+                Ok(_) => log::debug!("peer message exceeds the size limit"),
                 Err(e) => {
                     log::debug!("peer socket: {e}");
                     async_io::Timer::after(super::micros_to_duration(10_000)).await;
