--- a/crates/yarrowspoke-front/src/net/machines.rs
+++ b/crates/yarrowspoke-front/src/net/machines.rs
@@ -1,6 +1,6 @@
-//! Machines: kept connections and single attempts on them.
+//! Connections to machines: a pool of idle ones, and single attempts on them.
 //!
-//! An attempt is dropped to give it up, which closes its connection. Nothing is ever resent here.
+//! An attempt is cancelled by dropping it, which closes its connection. This module never resends a request.
 
 use super::http::{Decoder, Encoder, Framing, FromHead, HttpError, RawHead, BODY_LIMIT};
 use super::{micros_to_duration, read_some, with_timeout};
@@ -18,80 +18,81 @@
 use yarrowspoke::interface::{CallOutcome, MachineId, MachineState, Micros};
 use yarrowspoke_settings::Transport;
 
-/// How far an attempt has come.
+/// How far an attempt has progressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Progress {
-    /// Not on a connection yet.
+    /// It has no connection yet.
     Connecting,
-    /// On a connection, its last byte not yet written.
+    /// It has a connection, but its last byte is not written yet.
     Writing,
     /// Its last byte is written: the machine may run it.
     Written,
 }
 
-/// What broke an attempt.
+/// Why an attempt failed.
 #[derive(Debug, Error)]
 pub enum AttemptFailure {
-    /// No more connections may be held.
-    #[error("no descriptor left")]
+    /// The connection limit is reached.
+    #[error("no descriptor available")]
     NoDescriptor,
     /// The machine has no address.
-    #[error("no address")]
+    #[error("machine has no address")]
     NoAddress,
-    /// Not connected in time.
+    /// No connection was established in time.
     #[error("not connected in time")]
     ConnectTimeout,
-    /// Not written before the moment from which it must not be.
+    /// The request was not written by its write deadline.
     #[error("not written in time")]
     WriteDeadline,
     /// The socket failed.
     #[error("socket: {0}")]
     Io(#[from] io::Error),
-    /// The answer is no HTTP.
-    #[error("answer: {0}")]
+    /// The response is not valid HTTP.
+    #[error("response: {0}")]
     Http(#[from] HttpError),
-    /// The connection ended without an answer.
-    #[error("ended without an answer")]
+    /// The connection ended before the response.
+    #[error("connection closed before a response")]
     Closed,
 }
 
 impl AttemptFailure {
-    /// The sort of cause, for counts.
-    fn sort(&self) -> &'static str {
+    /// Returns the kind of failure, for counts.
+    fn kind(&self) -> &'static str {
         match self {
-            Self::NoDescriptor => "no descriptor left",
-            Self::NoAddress => "no address",
+            Self::NoDescriptor => "no descriptor available",
+            Self::NoAddress => "machine has no address",
             Self::ConnectTimeout => "not connected in time",
             Self::WriteDeadline => "not written in time",
             Self::Io(e) if e.kind() == io::ErrorKind::ConnectionRefused => "refused",
             Self::Io(_) => "broken",
-            Self::Http(_) => "spoilt answer",
-            Self::Closed => "ended without an answer",
+            Self::Http(_) => "unreadable response",
+            Self::Closed => "connection closed before a response",
         }
     }
 }
 
-/// Until when an attempt may go on, on the clock.
+/// The deadlines of an attempt, on the front's clock.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptDeadlines {
-    /// Nobody waits for its answer from then on.
+    /// Time from which nobody waits for the response.
     pub expires: Micros,
-    /// It must not be written from then on, if that is sooner.
+    /// Time from which the request must not be written, if that is earlier.
     pub write_by: Option<Micros>,
 }
 
-/// A broken attempt, and how far it had come.
+/// A failed attempt and how far it had progressed.
 #[derive(Debug, Error)]
 #[error("{progress:?}: {cause}")]
 pub struct AttemptError {
-    /// How far it had come.
+    /// Progress at the failure.
     pub progress: Progress,
-    /// What broke it.
+    /// Cause of the failure.
     pub cause: AttemptFailure,
 }
 
 impl AttemptError {
-    /// The outcome: before the last byte was written it has not run, afterwards nobody knows.
+    /// Returns the outcome: before its last byte is written an attempt has not run, afterwards it is unknown whether
+    /// it has.
     pub fn outcome(&self) -> CallOutcome {
         match self.progress {
             Progress::Connecting | Progress::Writing => CallOutcome::ConnectFailed,
@@ -103,11 +104,11 @@
 struct ReplyHead {
     status: u16,
     rejected: bool,
-    load: Option<String>,
-    keep: bool,
+    load_report: Option<String>,
+    keep_alive: bool,
 }
 
-/// The status of an answer's first line.
+/// Parses the status in a response's start line.
 pub fn parse_status(head: &RawHead) -> Result<u16, HttpError> {
     let [version, code, _] = head.start_line;
     let digits = code.len() == 3 && code.bytes().all(|b| b.is_ascii_digit());
@@ -121,17 +122,18 @@
     type Context = ();
     const STRICT: bool = false;
 
-    /// Danger: an answer cut off by a machine's death looks whole where only the connection's end marks its own.
+    /// Without stated framing, a response cut off by a machine's crash would look complete, since only the end of the
+    /// connection marks its own end.
     fn default_framing(&self) -> Option<Framing> {
-        (!self.keep).then_some(Framing::UntilClose)
+        (!self.keep_alive).then_some(Framing::UntilClose)
     }
 
     fn from_head(head: &RawHead, _: &()) -> Result<Self, HttpError> {
         Ok(Self {
             status: parse_status(head)?,
             rejected: head.field("x-rejected") == Some("1"),
-            load: head.field("x-load-report").map(str::to_owned),
-            keep: head.keeps_alive(head.start_line[0]),
+            load_report: head.field("x-load-report").map(str::to_owned),
+            keep_alive: head.keeps_alive(head.start_line[0]),
         })
     }
 
@@ -154,7 +156,7 @@
     }
 }
 
-/// Reads a load report into the order of the settings' fields; empty unless all are there.
+/// Parses a load report into values in the order of the configured fields; empty unless all fields are present.
 pub fn parse_load_report(report: &str, fields: &[String]) -> Vec<f32> {
     let value = |name: &String| {
         let mut pairs = report.split(',').filter_map(|p| p.split_once('='));
@@ -164,28 +166,28 @@
     fields.iter().map(value).collect::<Option<_>>().unwrap_or_default()
 }
 
-struct Line {
+struct Connection {
     stream: Async<TcpStream>,
-    _place: Descriptor,
+    _descriptor: Descriptor,
 }
 
-/// A machine's whole answer, and whether the connection may carry another.
-struct Heard {
+/// A machine's complete response, and whether the connection can be reused.
+struct Response {
     head: ReplyHead,
     body: Vec<u8>,
     reusable: bool,
 }
 
-impl Line {
-    /// Reads the answer to what was written.
-    async fn answer(&mut self) -> Result<Heard, AttemptFailure> {
+impl Connection {
+    /// Reads the response to the request that was written.
+    async fn read_response(&mut self) -> Result<Response, AttemptFailure> {
         let mut decoder = Decoder::<ReplyHead>::new(BODY_LIMIT);
         loop {
             let n = read_some(&mut self.stream, |bytes| decoder.feed(bytes)).await?;
             let message = if n == 0 { decoder.finish()? } else { decoder.next_message()? };
             if let Some((head, body)) = message {
-                let reusable = n > 0 && head.keep && decoder.is_idle();
-                return Ok(Heard { head, body, reusable });
+                let reusable = n > 0 && head.keep_alive && decoder.is_idle();
+                return Ok(Response { head, body, reusable });
             }
             if n == 0 {
                 return Err(AttemptFailure::Closed);
@@ -195,99 +197,105 @@
 }
 
 struct Idle {
-    line: Line,
+    connection: Connection,
     since: Micros,
 }
 
-/// How long a connection rests after an answer. Danger: a second copy of it may come some milliseconds late, and
-/// on a connection that already carries the next request it would be taken for that one's answer.
-const REST: Micros = 25_000;
+/// How long a connection is unused after a response, in microseconds. A duplicate of the response may arrive some
+/// milliseconds late, and on a connection that already carries the next request it would be taken for the response to
+/// that one.
+const REST_TIME: Micros = 25_000;
 
 impl Idle {
-    /// Nothing came and nothing ended while it lay idle.
-    fn is_sound(&self) -> bool {
-        let peeked = self.line.stream.get_ref().peek(&mut [0; 1]);
-        if matches!(peeked, Ok(n) if n > 0) {
-            log::info!("a machine has written behind its answer: the connection is closed");
+    /// Returns whether the connection is still open and has received no data while it was idle.
+    fn is_usable(&self) -> bool {
+        let peek_result = self.connection.stream.get_ref().peek(&mut [0; 1]);
+        if matches!(peek_result, Ok(n) if n > 0) {
+            log::info!("a machine sent data after its response; closing the connection");
         }
-        matches!(peeked, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
+        matches!(peek_result, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
-/// Who stands behind a machine's id.
+/// The machine instance behind an id.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
-struct Tenancy {
+struct HostInstance {
     address: Option<SocketAddr>,
     build: u16,
-    started: Micros,
+    started_at: Micros,
 }
 
 #[derive(Default)]
 struct Host {
-    tenancy: Tenancy,
-    /// It may get new requests.
+    instance: HostInstance,
+    /// Whether the machine may get new requests.
     ready: bool,
     idle: VecDeque<Idle>,
 }
 
-/// All machines listed, with the connections kept to them.
+/// All listed machines, with the idle connections to them.
 pub struct Machines {
     hosts: RefCell<BTreeMap<MachineId, Host>>,
-    places: Rc<DescriptorBudget>,
+    descriptors: Rc<DescriptorBudget>,
     transport: Transport,
-    /// What broke attempts since this was last told.
-    broke: RefCell<BTreeMap<&'static str, usize>>,
+    /// Counts of attempt failures since the last report, by kind.
+    failure_counts: RefCell<BTreeMap<&'static str, usize>>,
 }
 
 impl Machines {
-    /// No machine yet.
-    pub fn new(places: Rc<DescriptorBudget>, transport: Transport) -> Rc<Self> {
-        Rc::new(Self { hosts: RefCell::default(), places, transport, broke: RefCell::default() })
+    /// Returns a pool without machines.
+    pub fn new(descriptors: Rc<DescriptorBudget>, transport: Transport) -> Rc<Self> {
+        Rc::new(Self {
+            hosts: RefCell::default(),
+            descriptors,
+            transport,
+            failure_counts: RefCell::default(),
+        })
     }
 
-    /// Takes in a line of the list. Danger: an address may return with another machine or build behind it,
-    /// so what was kept to the old one is closed.
+    /// Applies a line of the list. An address may return with another machine or build behind it, so idle connections
+    /// to the previous one are closed.
     pub fn update(&self, row: &Row) {
         let mut hosts = self.hosts.borrow_mut();
         let host = hosts.entry(row.entry.machine).or_default();
-        let (build, started) = (row.entry.build, row.entry.started_at);
-        let tenancy = Tenancy { address: row.address, build, started };
+        let (build, started_at) = (row.entry.build, row.entry.started_at);
+        let instance = HostInstance { address: row.address, build, started_at };
         host.ready = row.entry.state == MachineState::Ready;
-        if host.tenancy != tenancy || !host.ready {
+        if host.instance != instance || !host.ready {
             host.idle.clear();
         }
-        host.tenancy = tenancy;
+        host.instance = instance;
         if row.entry.state == MachineState::Gone {
             hosts.remove(&row.entry.machine);
         }
     }
 
-    /// Forgets machines that a whole list no longer holds.
+    /// Removes machines that a snapshot of the list no longer contains.
     pub fn keep_only(&self, rows: &[Row]) {
         self.hosts.borrow_mut().retain(|id, _| rows.iter().any(|r| r.entry.machine == *id));
     }
 
-    /// Closes idle connections to a machine.
+    /// Closes the idle connections to a machine.
     pub fn close_idle(&self, machine: MachineId) {
         if let Some(host) = self.hosts.borrow_mut().get_mut(&machine) {
             host.idle.clear();
         }
     }
 
-    /// Connections that are idle.
+    /// Returns the number of idle connections.
     pub fn idle_count(&self) -> usize {
         self.hosts.borrow().values().map(|h| h.idle.len()).sum()
     }
 
-    /// Closes connections that the machine would soon close itself, and those that ended.
+    /// Closes idle connections that the machine would soon close itself, and those that have ended.
     pub fn sweep(&self, now: Micros) {
-        let limit = self.idle_limit();
+        let idle_limit = self.idle_limit();
         for host in self.hosts.borrow_mut().values_mut() {
-            host.idle.retain(|i| now < i.since.saturating_add(limit) && i.is_sound());
+            host.idle.retain(|i| now < i.since.saturating_add(idle_limit) && i.is_usable());
         }
     }
 
-    /// How long a connection is kept idle: a quarter less than the machine keeps it.
+    /// Returns how long a connection is kept idle: a quarter less than the machine keeps it.
     fn idle_limit(&self) -> Micros {
         if self.transport.idle == 0 {
             Micros::MAX
@@ -296,43 +304,43 @@
         }
     }
 
-    /// A kept connection that has rested and is still sound, the newest first.
-    fn kept(&self, machine: MachineId, now: Micros) -> Option<Line> {
+    /// Takes the newest idle connection that is past its rest time and still usable.
+    fn take_idle(&self, machine: MachineId, now: Micros) -> Option<Connection> {
         let mut hosts = self.hosts.borrow_mut();
         let host = hosts.get_mut(&machine)?;
         loop {
-            let rested = host.idle.iter().rposition(|i| now >= i.since + REST)?;
+            let rested = host.idle.iter().rposition(|i| now >= i.since + REST_TIME)?;
             let idle = host.idle.remove(rested)?;
-            if now < idle.since.saturating_add(self.idle_limit()) && idle.is_sound() {
-                return Some(idle.line);
+            if now < idle.since.saturating_add(self.idle_limit()) && idle.is_usable() {
+                return Some(idle.connection);
             }
         }
     }
 
-    /// Keeps a connection that has served, unless its machine has changed or drains meanwhile.
-    fn keep(&self, machine: MachineId, tenancy: Tenancy, line: Line, now: Micros) {
+    /// Returns a used connection to the pool, unless its machine has changed or begun to drain meanwhile.
+    fn return_idle(&self, machine: MachineId, instance: HostInstance, connection: Connection, now: Micros) {
         if let Some(host) = self.hosts.borrow_mut().get_mut(&machine) {
-            // While everything is in use a connection that has served gives its place to a client.
-            if host.ready && host.tenancy == tenancy && !self.places.is_full() {
-                host.idle.push_back(Idle { line, since: now });
+            // While all descriptors are in use, a used connection is closed so that its descriptor serves a client.
+            if host.ready && host.instance == instance && !self.descriptors.is_full() {
+                host.idle.push_back(Idle { connection, since: now });
             }
         }
     }
 
-    /// A place for a new connection; at the limit the connection that was idle longest makes room.
-    fn place(&self) -> Result<Descriptor, AttemptFailure> {
-        if let Some(place) = self.places.take_for_machine() {
-            return Ok(place);
+    /// Takes a descriptor for a new connection; at the limit, the connection that has been idle longest is closed.
+    fn take_descriptor(&self) -> Result<Descriptor, AttemptFailure> {
+        if let Some(descriptor) = self.descriptors.take_for_machine() {
+            return Ok(descriptor);
         }
         let mut hosts = self.hosts.borrow_mut();
         let oldest = hosts.values_mut().filter(|h| !h.idle.is_empty());
         let oldest = oldest.min_by_key(|h| h.idle.front().map(|i| i.since));
         drop(oldest.and_then(|h| h.idle.pop_front()));
-        self.places.take_for_machine().ok_or(AttemptFailure::NoDescriptor)
+        self.descriptors.take_for_machine().ok_or(AttemptFailure::NoDescriptor)
     }
 
-    async fn connect(&self, address: SocketAddr) -> Result<Line, AttemptFailure> {
-        let place = self.place()?;
+    async fn connect(&self, address: SocketAddr) -> Result<Connection, AttemptFailure> {
+        let descriptor = self.take_descriptor()?;
         let connecting = Async::<TcpStream>::connect(address);
         let stream = match self.transport.connect_timeout {
             0 => connecting.await?,
@@ -341,128 +349,130 @@
                 .ok_or(AttemptFailure::ConnectTimeout)??,
         };
         stream.get_ref().set_nodelay(true)?;
-        Ok(Line { stream, _place: place })
+        Ok(Connection { stream, _descriptor: descriptor })
     }
 
-    /// Makes one attempt; `progress` tells at any moment how far it has come.
+    /// Makes one attempt; `progress` shows at any time how far it has progressed.
     pub async fn attempt(
         &self,
         machine: MachineId,
         exchange: &Exchange,
-        until: AttemptDeadlines,
+        deadlines: AttemptDeadlines,
         progress: &Cell<Progress>,
         clock: &Clock,
     ) -> Result<Reply, AttemptError> {
-        let tried = self.exchange(machine, exchange, until, progress, clock).await;
-        tried.map_err(|cause| {
-            *self.broke.borrow_mut().entry(cause.sort()).or_default() += 1;
+        let result = self.exchange(machine, exchange, deadlines, progress, clock).await;
+        result.map_err(|cause| {
+            *self.failure_counts.borrow_mut().entry(cause.kind()).or_default() += 1;
             AttemptError { progress: progress.get(), cause }
         })
     }
 
-    /// Asks a machine whether it answers. A request without a call's id starts no work there, and any answer to it
-    /// will do; it goes over a connection like any other, behind what the machine takes up first.
-    pub async fn probe(&self, machine: MachineId, limit: Micros) -> (CallOutcome, Option<String>) {
+    /// Checks whether a machine responds. A request without a call id starts no work there, and any response to it
+    /// counts; it uses a connection like any other and queues behind what the machine accepted before.
+    pub async fn probe(&self, machine: MachineId, timeout: Micros) -> (CallOutcome, Option<String>) {
         let progress = Cell::new(Progress::Connecting);
-        let asked = async {
-            let (_, address) = self.tenancy(machine)?;
-            let mut line = self.connect(address).await?;
-            // Whether it ran does not matter: what breaks a connection that stood is a reset.
+        let call = async {
+            let (_, address) = self.instance(machine)?;
+            let mut connection = self.connect(address).await?;
+            // Whether the probe ran does not matter: a failure of an established connection counts as a reset.
             progress.set(Progress::Written);
             let request = Encoder::new(format_args!("GET / HTTP/1.1"))
                 .field("Host", format_args!("{address}"))
                 .field("Connection", format_args!("close"))
                 .body(&[]);
-            line.stream.write_all(&request).await?;
-            Ok(line.answer().await?.head.load)
+            connection.stream.write_all(&request).await?;
+            Ok(connection.read_response().await?.head.load_report)
         };
-        match with_timeout(micros_to_duration(limit), asked).await {
-            Some(Ok(load)) => (CallOutcome::Ok, load),
+        match with_timeout(micros_to_duration(timeout), call).await {
+            Some(Ok(load_report)) => (CallOutcome::Ok, load_report),
             Some(Err(cause)) => (AttemptError { progress: progress.get(), cause }.outcome(), None),
             None => (CallOutcome::Timeout, None),
         }
     }
 
-    /// What broke attempts since this was last asked, counted by sort.
+    /// Returns the counts of attempt failures since the last call, by kind, and resets them.
     pub fn take_failure_counts(&self) -> BTreeMap<&'static str, usize> {
-        self.broke.take()
+        self.failure_counts.take()
     }
 
     async fn exchange(
         &self,
         machine: MachineId,
         exchange: &Exchange,
-        until: AttemptDeadlines,
+        deadlines: AttemptDeadlines,
         progress: &Cell<Progress>,
         clock: &Clock,
     ) -> Result<Reply, AttemptFailure> {
-        let (tenancy, address) = self.tenancy(machine)?;
-        let written = self.write(machine, address, exchange, until, progress, clock);
-        // Danger: a connection may come up, or take the bytes, only after the moment until which sending was allowed.
-        let mut line = match until.write_by {
-            Some(by) => {
-                let left = micros_to_duration(by.saturating_sub(clock.now()));
-                with_timeout(left, written).await.ok_or(AttemptFailure::WriteDeadline)??
+        let (instance, address) = self.instance(machine)?;
+        let write = self.write(machine, address, exchange, deadlines, progress, clock);
+        // A connection may be established, or accept the bytes, only after the time until which sending was allowed.
+        let mut connection = match deadlines.write_by {
+            Some(write_by) => {
+                let remaining = micros_to_duration(write_by.saturating_sub(clock.now()));
+                with_timeout(remaining, write).await.ok_or(AttemptFailure::WriteDeadline)??
             }
-            None => written.await?,
+            None => write.await?,
         };
         progress.set(Progress::Written);
-        let Heard { head, body, reusable } = line.answer().await?;
+        let Response { head, body, reusable } = connection.read_response().await?;
         if reusable {
-            self.keep(machine, tenancy, line, clock.now());
+            self.return_idle(machine, instance, connection, clock.now());
         }
-        Ok(Reply { outcome: head.outcome(), load_report: head.load, body })
+        Ok(Reply { outcome: head.outcome(), load_report: head.load_report, body })
     }
 
-    /// Writes the request to a connection, kept or new.
+    /// Writes the request to an idle or a new connection.
     async fn write(
         &self,
         machine: MachineId,
         address: SocketAddr,
         exchange: &Exchange,
-        until: AttemptDeadlines,
+        deadlines: AttemptDeadlines,
         progress: &Cell<Progress>,
         clock: &Clock,
-    ) -> Result<Line, AttemptFailure> {
-        let begun = clock.now();
-        let mut line = match self.kept(machine, begun) {
-            Some(line) => line,
+    ) -> Result<Connection, AttemptFailure> {
+        let started_at = clock.now();
+        let mut connection = match self.take_idle(machine, started_at) {
+            Some(connection) => connection,
             None => {
                 let connected = self.connect(address).await;
-                let took = clock.now() - begun;
-                log::debug!(machine, took, failed = connected.as_ref().err().map(AttemptFailure::sort); "connected");
+                let took = clock.now() - started_at;
+                log::debug!(machine, took, failed = connected.as_ref().err().map(AttemptFailure::kind); "connected");
                 connected?
             }
         };
         let now = clock.now();
-        // Looked at here too: a process that stood still finds the connection up and the time over in one turn.
-        if now >= until.write_by.unwrap_or(until.expires) {
+        // Checked here too: after a pause the process finds the connection established and the deadline passed in
+        // the same poll.
+        if now >= deadlines.write_by.unwrap_or(deadlines.expires) {
             return Err(AttemptFailure::WriteDeadline);
         }
         progress.set(Progress::Writing);
-        line.stream.write_all(&encode(exchange, address, until.expires - now)).await?;
-        Ok(line)
+        connection.stream.write_all(&encode(exchange, address, deadlines.expires - now)).await?;
+        Ok(connection)
     }
 
-    fn tenancy(&self, machine: MachineId) -> Result<(Tenancy, SocketAddr), AttemptFailure> {
-        let tenancy = self.hosts.borrow().get(&machine).map(|h| h.tenancy);
-        tenancy.and_then(|t| t.address.map(|a| (t, a))).ok_or(AttemptFailure::NoAddress)
+    fn instance(&self, machine: MachineId) -> Result<(HostInstance, SocketAddr), AttemptFailure> {
+        let instance = self.hosts.borrow().get(&machine).map(|h| h.instance);
+        instance.and_then(|t| t.address.map(|a| (t, a))).ok_or(AttemptFailure::NoAddress)
     }
 }
 
-fn encode(exchange: &Exchange, address: SocketAddr, wait: Micros) -> Vec<u8> {
+fn encode(exchange: &Exchange, address: SocketAddr, budget: Micros) -> Vec<u8> {
     let call = &exchange.call;
     let head = Encoder::new(format_args!("{} {} HTTP/1.1", call.method, call.target))
         .field("Host", format_args!("{address}"))
         .field("X-Call-Id", format_args!("{}", call.call_id))
-        .field("X-Budget", format_args!("{:.6}", wait as f64 / 1e6));
-    // Danger: without its key a machine takes a repeat for another request, and runs it again.
+        .field("X-Budget", format_args!("{:.6}", budget as f64 / 1e6));
+    // Without its key, a machine would take a retry for a new request and run it again.
     let head = match &call.idempotency_key {
         Some(key) => head.field("Idempotency-Key", format_args!("{key}")),
         None => head,
     };
-    // A request without a body has no length to state.
-    let bodied = !call.body.is_empty() || call.method != "GET";
-    let head = if bodied { head.field("Content-Length", format_args!("{}", call.body.len())) } else { head };
+    // A request without a body states no length.
+    let has_body = !call.body.is_empty() || call.method != "GET";
+    let head =
+        if has_body { head.field("Content-Length", format_args!("{}", call.body.len())) } else { head };
     head.body(&call.body)
 }
