--- a/crates/yarrowspoke-front/src/net/platform.rs
+++ b/crates/yarrowspoke-front/src/net/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: votes and what it tells, in lines of words.
+//! Client of the platform: casts votes and receives rollout status, in a line-based text protocol.
 
 use super::{micros_to_duration, read_some, with_timeout};
 use crate::input::Input;
@@ -11,54 +11,55 @@
 use thiserror::Error;
 use yarrowspoke::interface::{Build, CallOutcome, Micros, Phase, RolloutStatus, Vote};
 
-/// Most bytes of a line.
+/// Largest line, in bytes.
 const LINE_LIMIT: usize = 8 * 1024;
-/// Signs of life come every second; a connection without any for this long is given up.
-const SILENCE: Duration = Duration::from_millis(2_500);
-/// Longest time that connecting may take: whoever was down in silence is reached again soon after.
-const CONNECT_WITHIN: Duration = Duration::from_millis(700);
-/// Pause before the next connection after one has failed...
-const AGAIN: Duration = Duration::from_millis(500);
-/// ...and if something had been told on it, as after a line that was spoilt.
-const AGAIN_SOON: Duration = Duration::from_millis(20);
+/// Longest time without a heartbeat, which comes every second, before the connection is replaced.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Longest time for connecting, so that a platform that was down without a reset is reached soon after it returns.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+/// Pause before reconnecting after a failure.
+const RECONNECT_DELAY: Duration = Duration::from_millis(500);
+/// The same if an update had been received on the failed connection, for example before an unreadable line.
+const SHORT_RECONNECT_DELAY: Duration = Duration::from_millis(20);
 
-/// State of the newest build, as the platform words it.
+/// Rollout state of the newest build, as the platform reports it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RolloutState {
     /// The newest build.
     pub build: Build,
-    /// Its stage.
+    /// Stage of the build.
     pub stage: u8,
-    /// Its phase.
+    /// Phase of the rollout.
     pub phase: Phase,
-    /// The cap.
+    /// Exposure cap of the build.
     pub cap: f64,
-    /// How long it has stood so.
+    /// How long the state has been unchanged.
     pub age: Micros,
 }
 
 impl RolloutState {
-    /// The module's event for it.
-    pub fn to_status(&self, answer: bool) -> RolloutStatus {
+    /// Converts the state to the decision module's event.
+    pub fn to_status(&self, is_vote_reply: bool) -> RolloutStatus {
         let Self { build, stage, phase, cap, age } = *self;
-        RolloutStatus { build, stage, phase, is_vote_reply: answer, outcome: CallOutcome::Ok, cap, age }
+        RolloutStatus { build, stage, phase, is_vote_reply, outcome: CallOutcome::Ok, cap, age }
     }
 }
 
-/// Whether the answer to a vote speaks of a state that the platform had left when it told `held`. Danger: answers
-/// and news come on two connections, in any order; taken for newer, such an answer would lift a lowered cap again.
-pub fn is_outdated_reply(answer: &RolloutStatus, held: &RolloutStatus) -> bool {
-    let course = |n: &RolloutStatus| match n.phase {
-        Phase::Trial => (n.build, 0, n.stage),
-        Phase::Released => (n.build, 1, 0),
-        Phase::RollingBack => (n.build, 2, 0),
-        Phase::Withdrawn => (n.build, 3, 0),
+/// Returns whether the reply to a vote describes a state that the platform had already left when it reported
+/// `newest`. Replies and updates arrive on two connections in any order; if such a reply were taken for newer, it
+/// would raise a lowered cap again.
+pub fn is_outdated_reply(reply: &RolloutStatus, newest: &RolloutStatus) -> bool {
+    let progress = |status: &RolloutStatus| match status.phase {
+        Phase::Trial => (status.build, 0, status.stage),
+        Phase::Released => (status.build, 1, 0),
+        Phase::RollingBack => (status.build, 2, 0),
+        Phase::Withdrawn => (status.build, 3, 0),
     };
-    let (answered, told) = (course(answer), course(held));
-    answer.outcome == CallOutcome::Ok && (answered < told || answered == told && answer.cap > held.cap)
+    let (replied, known) = (progress(reply), progress(newest));
+    reply.outcome == CallOutcome::Ok && (replied < known || replied == known && reply.cap > newest.cap)
 }
 
-/// The same as the configuration holds it.
+/// Rollout state as the configuration states it.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct RolloutStateConfig {
@@ -72,62 +73,68 @@
 impl TryFrom<RolloutStateConfig> for RolloutState {
     type Error = LineError;
 
-    fn try_from(f: RolloutStateConfig) -> Result<Self, LineError> {
-        let phase = phase(&f.state).ok_or(LineError::Value("State"))?;
-        if !(0.0..=1.0).contains(&f.max_share) {
+    fn try_from(config: RolloutStateConfig) -> Result<Self, LineError> {
+        let phase = parse_phase(&config.state).ok_or(LineError::Value("State"))?;
+        if !(0.0..=1.0).contains(&config.max_share) {
             return Err(LineError::Value("MaxShare"));
         }
-        Ok(Self { build: f.revision, stage: f.wave, phase, cap: f.max_share, age: micros(f.age_ms) })
+        Ok(Self {
+            build: config.revision,
+            stage: config.wave,
+            phase,
+            cap: config.max_share,
+            age: ms_to_micros(config.age_ms),
+        })
     }
 }
 
-/// Why a line cannot be read.
+/// Why a line cannot be decoded.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum LineError {
-    /// A value is missing or has no sense.
-    #[error("{0} is missing or cannot be read")]
+    /// A value is missing or invalid.
+    #[error("{0} is missing or invalid")]
     Value(&'static str),
-    /// The line has another shape.
-    #[error("no such line")]
-    Shape,
-    /// The line is over its limit.
+    /// The line has an unknown form.
+    #[error("unknown line")]
+    UnknownLine,
+    /// The line exceeds its limit.
     #[error("line too long")]
     TooLong,
 }
 
-/// Why the platform did not carry a call out.
+/// Why the platform refused a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// Too many calls.
     Limit,
-    /// Not the present build or stage.
+    /// The build or stage is not the present one.
     Moot,
-    /// It failed.
+    /// The call failed.
     Error,
-    /// No such call, or a field is wrong.
+    /// The call is unknown, or a field is invalid.
     Malformed,
 }
 
-/// A line that the platform wrote.
+/// A line received from the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum PlatformLine {
-    /// A sign of life.
+    /// A heartbeat.
     Heartbeat,
-    /// Told unasked: the newest build's state.
+    /// An update with the newest build's state.
     Progress(RolloutState),
-    /// Told unasked: something this version does not know.
+    /// An update of a kind that this version does not use.
     Other,
-    /// A call was carried out; a vote's answer holds the state.
+    /// A call succeeded; the reply to a vote contains the state.
     Accepted(Option<RolloutState>),
-    /// A call was not carried out.
+    /// A call was refused.
     Refused(Refusal),
 }
 
-fn micros(ms: f64) -> Micros {
+fn ms_to_micros(ms: f64) -> Micros {
     (ms * 1_000.0) as Micros
 }
 
-fn phase(word: &str) -> Option<Phase> {
+fn parse_phase(word: &str) -> Option<Phase> {
     Some(match word {
         "canary" => Phase::Trial,
         "reverting" => Phase::RollingBack,
@@ -137,17 +144,17 @@
     })
 }
 
-/// Decodes one line, without its ending.
+/// Decodes one line, without its line ending.
 pub fn decode(line: &[u8]) -> Result<PlatformLine, LineError> {
-    let text = std::str::from_utf8(line).map_err(|_| LineError::Shape)?;
+    let text = std::str::from_utf8(line).map_err(|_| LineError::UnknownLine)?;
     let mut words = text.split(' ').filter(|w| !w.is_empty());
     match (words.next(), words.next()) {
         (Some("*"), None) => Ok(PlatformLine::Heartbeat),
-        (Some("*"), Some("progress")) => state(words).map(PlatformLine::Progress),
+        (Some("*"), Some("progress")) => parse_state(words).map(PlatformLine::Progress),
         (Some("*"), Some("metrics" | "complaint")) => Ok(PlatformLine::Other),
         (Some("OK"), None) => Ok(PlatformLine::Accepted(None)),
         (Some("OK"), Some(first)) => {
-            state(std::iter::once(first).chain(words)).map(|s| PlatformLine::Accepted(Some(s)))
+            parse_state(std::iter::once(first).chain(words)).map(|s| PlatformLine::Accepted(Some(s)))
         }
         (Some("ERR"), Some(why)) => Ok(PlatformLine::Refused(match why {
             "limit" => Refusal::Limit,
@@ -156,41 +163,41 @@
             "error" => Refusal::Error,
             _ => return Err(LineError::Value("ERR")),
         })),
-        _ => Err(LineError::Shape),
+        _ => Err(LineError::UnknownLine),
     }
 }
 
-fn state<'a>(mut words: impl Iterator<Item = &'a str>) -> Result<RolloutState, LineError> {
+fn parse_state<'a>(mut words: impl Iterator<Item = &'a str>) -> Result<RolloutState, LineError> {
     let build = words.next().and_then(|w| w.parse().ok()).ok_or(LineError::Value("Revision"))?;
     let stage = words.next().and_then(|w| w.parse().ok()).ok_or(LineError::Value("Wave"))?;
-    let phase = words.next().and_then(phase).ok_or(LineError::Value("State"))?;
+    let phase = words.next().and_then(parse_phase).ok_or(LineError::Value("State"))?;
     let share = words.next().and_then(|w| w.parse().ok()).filter(|s| (0.0..=1.0).contains(s));
     let cap = share.ok_or(LineError::Value("MaxShare"))?;
     let age = words.next().and_then(|w| w.parse::<f64>().ok()).filter(|a| a.is_finite() && *a >= 0.0);
-    let age = micros(age.ok_or(LineError::Value("AgeMs"))?);
+    let age = ms_to_micros(age.ok_or(LineError::Value("AgeMs"))?);
     match words.next() {
         None => Ok(RolloutState { build, stage, phase, cap, age }),
-        Some(_) => Err(LineError::Shape),
+        Some(_) => Err(LineError::UnknownLine),
     }
 }
 
-/// Turns bytes into lines.
+/// Splits received bytes into lines.
 #[derive(Default)]
 pub struct LineDecoder {
     buffer: Vec<u8>,
 }
 
 impl LineDecoder {
-    /// Takes bytes as they came.
+    /// Adds received bytes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole line without its ending; over-long ones are an error.
+    /// Returns the next complete line without its ending; a line over the limit is an error.
     pub fn line(&mut self) -> Result<Option<Vec<u8>>, LineError> {
         let Some(end) = self.buffer.iter().position(|b| *b == b'\n') else {
-            let over = self.buffer.len() > LINE_LIMIT;
-            return if over { Err(LineError::TooLong) } else { Ok(None) };
+            let too_long = self.buffer.len() > LINE_LIMIT;
+            return if too_long { Err(LineError::TooLong) } else { Ok(None) };
         };
         if end > LINE_LIMIT {
             return Err(LineError::TooLong);
@@ -204,19 +211,19 @@
     }
 }
 
-/// A vote to cast.
+/// A vote to be cast.
 #[derive(Clone, Copy, Debug)]
 pub struct Ballot {
-    /// The build.
+    /// The build that the vote is about.
     pub build: Build,
-    /// The stage meant.
+    /// The stage that the vote is about.
     pub stage: u8,
-    /// The verdict.
+    /// The vote.
     pub vote: Vote,
 }
 
 impl Ballot {
-    /// The line that casts it.
+    /// Encodes the line that casts the vote.
     pub fn encode(&self) -> String {
         let word = match self.vote {
             Vote::Withdraw => "abstain",
@@ -228,11 +235,11 @@
     }
 }
 
-/// Casts a vote on a connection of its own and tells how that went; `limit` comes from the settings.
-pub async fn vote(address: SocketAddr, ballot: Ballot, limit: Micros, to: Sender<Input>) {
+/// Casts a vote on its own connection and reports the result; `timeout` comes from the settings.
+pub async fn vote(address: SocketAddr, ballot: Ballot, timeout: Micros, to: Sender<Input>) {
     let written = std::cell::Cell::new(false);
-    let answer = with_timeout(micros_to_duration(limit), cast(address, ballot, &written)).await;
-    let ending = match answer {
+    let reply = with_timeout(micros_to_duration(timeout), send_ballot(address, ballot, &written)).await;
+    let outcome = match reply {
         Some(Ok(PlatformLine::Accepted(Some(state)))) => {
             let _ = to.send(Input::RolloutStatus(state.to_status(true))).await;
             return;
@@ -242,18 +249,18 @@
             Refusal::Moot => CallOutcome::NotSent,
             Refusal::Error | Refusal::Malformed => CallOutcome::Error,
         },
-        // Before its last byte is written a call is not carried out; afterwards nobody knows.
+        // A call is not executed before its last byte is written; afterwards it is unknown whether it was.
         _ if written.get() => CallOutcome::Timeout,
         _ => CallOutcome::ConnectFailed,
     };
-    log::info!("vote {ballot:?}: {ending:?}");
+    log::info!("vote {ballot:?}: {outcome:?}");
     let phase = Phase::Trial;
     let Ballot { build, stage, .. } = ballot;
-    let news = RolloutStatus { build, stage, phase, is_vote_reply: true, outcome: ending, cap: 0.0, age: 0 };
-    let _ = to.send(Input::RolloutStatus(news)).await;
+    let status = RolloutStatus { build, stage, phase, is_vote_reply: true, outcome, cap: 0.0, age: 0 };
+    let _ = to.send(Input::RolloutStatus(status)).await;
 }
 
-async fn cast(
+async fn send_ballot(
     address: SocketAddr,
     ballot: Ballot,
     written: &std::cell::Cell<bool>,
@@ -273,41 +280,41 @@
     }
 }
 
-/// Listens to what the platform tells, for ever: a connection that ends or falls silent is replaced.
+/// Receives updates from the platform; never returns. A connection that ends or falls silent is replaced.
 pub async fn listen(address: SocketAddr, to: Sender<Input>) {
     loop {
-        let mut told = false;
-        let Err(e) = notified(address, &to, &mut told).await;
+        let mut has_update = false;
+        let Err(e) = receive_updates(address, &to, &mut has_update).await;
         log::warn!("platform: {e}");
-        // Danger: what is told while nobody listens is not told again, so a connection that worked is replaced
-        // soon; one that told nothing is tried at leisure.
-        Timer::after(if told { AGAIN_SOON } else { AGAIN }).await;
+        // Updates that are sent while nobody listens are not repeated, so a connection that worked is replaced soon;
+        // after one that gave no update there is a longer pause.
+        Timer::after(if has_update { SHORT_RECONNECT_DELAY } else { RECONNECT_DELAY }).await;
     }
 }
 
-/// Listens on one connection until it fails; `told` says whether anything could be read there.
-async fn notified(
+/// Receives updates on one connection until it fails; sets `has_update` once an update was received.
+async fn receive_updates(
     address: SocketAddr,
     to: &Sender<Input>,
-    told: &mut bool,
+    has_update: &mut bool,
 ) -> std::io::Result<std::convert::Infallible> {
-    let silent = || std::io::Error::from(std::io::ErrorKind::TimedOut);
-    let connected = with_timeout(CONNECT_WITHIN, Async::<TcpStream>::connect(address)).await;
-    let mut stream = connected.ok_or_else(silent)??;
+    let timed_out = || std::io::Error::from(std::io::ErrorKind::TimedOut);
+    let connected = with_timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(address)).await;
+    let mut stream = connected.ok_or_else(timed_out)??;
     stream.get_ref().set_nodelay(true)?;
     stream.write_all(b"NOTIFY\r\n").await?;
     let mut lines = LineDecoder::default();
     loop {
-        let read = with_timeout(SILENCE, read_some(&mut stream, |bytes| lines.feed(bytes))).await;
-        if read.ok_or_else(silent)?? == 0 {
+        let read = with_timeout(SILENCE_TIMEOUT, read_some(&mut stream, |bytes| lines.feed(bytes))).await;
+        if read.ok_or_else(timed_out)?? == 0 {
             return Err(std::io::ErrorKind::UnexpectedEof.into());
         }
         while let Some(line) = lines.line().map_err(std::io::Error::other)? {
-            // Danger: behind a line that cannot be read nothing more comes, or nothing to be trusted: the
-            // connection is spent, and the next one tells the state anew.
+            // After an unreadable line nothing more arrives, or nothing reliable: the connection is closed, and the
+            // next one reports the state again.
             match decode(&line).map_err(std::io::Error::other)? {
                 PlatformLine::Progress(state) => {
-                    *told = true;
+                    *has_update = true;
                     let _ = to.send(Input::RolloutStatus(state.to_status(false))).await;
                 }
                 PlatformLine::Refused(why) => log::warn!("platform: refused: {why:?}"),
