--- a/crates/yarrowspoke-front/src/planner.rs
+++ b/crates/yarrowspoke-front/src/planner.rs
@@ -1,4 +1,4 @@
-//! A planner as a program: links, store and commands round `yarrowspoke_fleet::planner`.
+//! Runs a planner: connects `yarrowspoke_fleet::planner` to the network, to the disk and to operators' orders.
 
 use crate::agreed_log::{AgreedLog, JoinError, MessageBatch};
 use crate::net::fleet::{exchange, serve, Answering, LinkAnswer, LinkHead};
@@ -26,58 +26,60 @@
 };
 use yarrowspoke_store::reports::{Key, Reports};
 
-/// How often what came is handed to the disk, and steps are looked at.
-const HOUSEKEEPING: Duration = Duration::from_millis(100);
-/// How often another planner is asked for what it has.
-const PULL_EVERY: Duration = Duration::from_millis(500);
-/// How long it may take to answer.
-const PULL_WITHIN: Duration = Duration::from_millis(1_000);
+/// How often new reports are passed to the disk and changed steps are logged.
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(100);
+/// How often reports are pulled from another planner.
+const PULL_INTERVAL: Duration = Duration::from_millis(500);
+/// How long the other planner may take to answer a pull.
+const PULL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// A tick of the agreement, and how long a batch of it may take.
-const AGREE_EVERY: Duration = Duration::from_millis(40);
-const AGREE_WITHIN: Duration = Duration::from_millis(400);
-/// How long something proposed may take to come about before it is proposed again.
-const PROPOSE_EVERY: Duration = Duration::from_millis(400);
-/// Said by a planner that takes no part.
-const APART: &str =
-    "this planner takes no part in the agreement: it has no directory, is alone, or its directory remembers \
-    nothing and it was not started with --found";
+/// Interval between two ticks of the replicated log.
+const LOG_TICK_INTERVAL: Duration = Duration::from_millis(40);
+/// How long the delivery of a batch of its messages may take.
+const BATCH_TIMEOUT: Duration = Duration::from_millis(400);
+/// After how long an entry that has not been decided is proposed again.
+const PROPOSE_INTERVAL: Duration = Duration::from_millis(400);
+/// Error and log text of a planner that has not joined the replicated log.
+const NOT_JOINED: &str =
+    "this planner has not joined the replicated log: it has no directory, is the only planner, or its directory is \
+    empty and it was not started with --found";
 
-/// What the disk is to do: reports to keep, and reports to give up.
+/// Work for the disk thread: reports to write, and keys of reports to delete.
 type Write = (Vec<(Key, Report)>, Vec<Key>);
 
-/// Reads what a directory keeps; what could not be read, beside it.
+/// Reads the reports of a directory. Returns them with a line for each record that could not be read.
 pub fn read_report_log(dir: &Path) -> Result<(ReportLog, Vec<String>), String> {
     let read = Reports::open(dir).and_then(|r| r.read::<Report>()).map_err(|e| e.to_string())?;
-    let (mut book, mut spoilt) = (ReportLog::default(), read.spoilt);
+    let (mut report_log, mut unreadable) = (ReportLog::default(), read.spoilt);
     for ((front, incarnation, ..), report) in read.reports {
-        if let Err(e) = book.insert(&front, incarnation, report) {
-            spoilt.push(format!("{front} incarnation {incarnation}: {e}"));
+        if let Err(e) = report_log.insert(&front, incarnation, report) {
+            unreadable.push(format!("{front} incarnation {incarnation}: {e}"));
         }
     }
-    Ok((book, spoilt))
+    Ok((report_log, unreadable))
 }
 
-struct Running {
+/// State that the tasks of a running planner share.
+struct RunningPlanner {
     planner: RefCell<Planner>,
-    /// `None` for one that takes no part: it may have forgotten what it promised.
-    agree: RefCell<Option<AgreedLog>>,
-    /// What was proposed lately, so that it is not proposed at every look.
-    proposed: RefCell<BTreeMap<String, Instant>>,
-    begun: Instant,
-    fresh: RefCell<Vec<(Key, Report)>>,
-    keeps: bool,
+    /// Replica of the log; `None` if this planner has not joined it, for instance because it may have lost its promises.
+    agreed_log: RefCell<Option<AgreedLog>>,
+    /// Entries proposed recently and when, so that an entry is not proposed again at every tick.
+    proposed_at: RefCell<BTreeMap<String, Instant>>,
+    started: Instant,
+    unwritten: RefCell<Vec<(Key, Report)>>,
+    has_directory: bool,
 }
 
-impl Running {
+impl RunningPlanner {
     fn now(&self) -> u64 {
-        self.begun.elapsed().as_micros() as u64
+        self.started.elapsed().as_micros() as u64
     }
 
-    fn keep(&self, front: &str, incarnation: u64, report: Report) {
-        if self.keeps {
+    fn store_report(&self, front: &str, incarnation: u64, report: Report) {
+        if self.has_directory {
             let key = (front.to_owned(), incarnation, report.first, report.last);
-            self.fresh.borrow_mut().push((key, report));
+            self.unwritten.borrow_mut().push((key, report));
         }
     }
 
@@ -93,91 +95,98 @@
                 Err(e) => self.refuse(e),
             },
             ("GET", "/fleet/status") => json(&self.planner.borrow().status(self.now())),
-            ("GET", "/fleet/audit") => match asked(query) {
-                Ok(asked) => json(&audit(&self.planner.borrow().report_log, &asked)),
+            ("GET", "/fleet/audit") => match parse_audit_query(query) {
+                Ok(audit_query) => json(&audit(&self.planner.borrow().report_log, &audit_query)),
                 Err(why) => LinkAnswer::refused(400, why),
             },
             ("POST", "/fleet/agree") => match decode::<MessageBatch>(body) {
                 Ok(batch) => {
-                    if let Some(agree) = self.agree.borrow_mut().as_mut() {
-                        agree.receive(batch);
+                    if let Some(agreed_log) = self.agreed_log.borrow_mut().as_mut() {
+                        agreed_log.receive(batch);
                     }
                     LinkAnswer::ok(Vec::new())
                 }
                 Err(e) => self.refuse(e),
             },
             ("POST", "/fleet/order") => self.order(body),
-            ("GET", "/fleet/agreed") => match self.agree.borrow().as_ref() {
-                Some(agree) => json(&serde_json::json!({
-                    "state": agree.state, "leader": agree.leader(), "applied": agree.applied(),
+            ("GET", "/fleet/agreed") => match self.agreed_log.borrow().as_ref() {
+                Some(agreed_log) => json(&serde_json::json!({
+                    "state": agreed_log.state, "leader": agreed_log.leader(), "applied": agreed_log.applied(),
                 })),
-                None => LinkAnswer::refused(400, APART),
+                None => LinkAnswer::refused(400, NOT_JOINED),
             },
             ("GET", "/up") => LinkAnswer::ok(b"OK".to_vec()),
             _ => LinkAnswer::refused(
                 404,
-                "no such thing: /fleet/report, /fleet/pull, /fleet/status, /fleet/audit",
+                "no such path, expected one of /fleet/report, /fleet/pull, /fleet/status, /fleet/audit",
             ),
         }
     }
 
-    /// An order of an operator. It is agreed on once its ticket stands among the outcomes; whoever gives it asks until then.
+    /// Proposes an operator's order. It is decided once its ticket is among the outcomes; the caller polls until then.
     fn order(&self, body: &[u8]) -> LinkAnswer {
-        let asked: Ordered = match serde_json::from_slice(body) {
-            Ok(asked) => asked,
+        let request: OrderRequest = match serde_json::from_slice(body) {
+            Ok(request) => request,
             Err(e) => return LinkAnswer::refused(400, e),
         };
-        let order = match asked.what.as_str() {
-            "out" => match self.planner.borrow().live_incarnation(&asked.front, self.now()) {
-                Some((incarnation, _)) => Order::Out { front: asked.front, incarnation, cause: asked.why },
-                None => return LinkAnswer::refused(400, format!("{:?} is not heard here", asked.front)),
+        let order = match request.what.as_str() {
+            "out" => match self.planner.borrow().live_incarnation(&request.front, self.now()) {
+                Some((incarnation, _)) => {
+                    Order::Out { front: request.front, incarnation, cause: request.why }
+                }
+                None => {
+                    return LinkAnswer::refused(
+                        400,
+                        format!("no heartbeat of {:?} has reached this planner", request.front),
+                    )
+                }
             },
-            "in" => Order::In { front: asked.front },
-            "halt" => Order::Halt { why: asked.why },
+            "in" => Order::In { front: request.front },
+            "halt" => Order::Halt { why: request.why },
             "resume" => Order::Resume,
-            "free" => Order::Free { front: asked.front, number: asked.number },
+            "free" => Order::Free { front: request.front, number: request.number },
             other => {
                 let why = format!("found {other:?}, expected out, in, halt, resume or free");
                 return LinkAnswer::refused(400, why);
             }
         };
-        match self.agree.borrow_mut().as_mut() {
-            Some(agree) => {
-                let (by, known_orders, ticket) = (asked.by, asked.knows, asked.ticket);
-                agree.propose(Entry::Order { order, by, known_orders, ticket });
+        match self.agreed_log.borrow_mut().as_mut() {
+            Some(agreed_log) => {
+                let (by, known_orders, ticket) = (request.by, request.knows, request.ticket);
+                agreed_log.propose(Entry::Order { order, by, known_orders, ticket });
                 LinkAnswer::ok(b"proposed\n".to_vec())
             }
-            None => LinkAnswer::refused(400, APART),
+            None => LinkAnswer::refused(400, NOT_JOINED),
         }
     }
 
-    /// Whether something may be proposed now that was not just before.
-    fn is_due(&self, what: String) -> bool {
-        let mut proposed = self.proposed.borrow_mut();
-        proposed.retain(|_, at| at.elapsed() < PROPOSE_EVERY);
-        proposed.insert(what, Instant::now()).is_none()
+    /// Returns whether an entry may be proposed now, that is, whether it was not proposed recently.
+    fn is_due(&self, entry: String) -> bool {
+        let mut proposed = self.proposed_at.borrow_mut();
+        proposed.retain(|_, at| at.elapsed() < PROPOSE_INTERVAL);
+        proposed.insert(entry, Instant::now()).is_none()
     }
 
-    /// What this planner sees is brought into the agreed log where it is not there yet.
-    fn see(&self, limits: &Limits) {
-        let (now, mut agree) = (self.now(), self.agree.borrow_mut());
-        let Some(agree) = agree.as_mut() else { return };
+    /// Proposes the entries for what this planner observes and the replicated log does not contain yet.
+    fn propose_observations(&self, limits: &Limits) {
+        let (now, mut agreed_log) = (self.now(), self.agreed_log.borrow_mut());
+        let Some(agreed_log) = agreed_log.as_mut() else { return };
         let mut planner = self.planner.borrow_mut();
-        planner.set_permits(now, &agree.state.permits, agree.state.last_permit_number);
+        planner.set_permits(now, &agreed_log.state.permits, agreed_log.state.last_permit_number);
         let mut entries = Vec::new();
-        if agree.state.limits != *limits && agree.leader() == Some(agree.name()) {
+        if agreed_log.state.limits != *limits && agreed_log.leader() == Some(agreed_log.name()) {
             entries.push(("limits".to_owned(), Entry::Limits(limits.clone())));
         }
         let lost = planner.lost_fronts(now);
-        if planner.is_warmed_up(now) && agree.state.views.get(agree.name()) != Some(&lost) {
-            let view = Entry::View { planner: agree.name().to_owned(), lost: lost.clone() };
+        if planner.is_warmed_up(now) && agreed_log.state.views.get(agreed_log.name()) != Some(&lost) {
+            let view = Entry::View { planner: agreed_log.name().to_owned(), lost: lost.clone() };
             entries.push((format!("view {lost:?}"), view));
         }
-        for (front, incarnation, number, word) in planner.permit_messages(now) {
-            let Some(permit) = agree.state.permits.get(&front).filter(|p| p.number == number) else {
+        for (front, incarnation, number, message) in planner.permit_messages(now) {
+            let Some(permit) = agreed_log.state.permits.get(&front).filter(|p| p.number == number) else {
                 continue;
             };
-            let entry = match (word, permit.phase) {
+            let entry = match (message, permit.phase) {
                 (PermitMessage::Request, Phase::Granted) => Entry::Took { front, number, incarnation },
                 (PermitMessage::In, _)
                     if planner.live_incarnation(&front, now) == Some((incarnation, true)) =>
@@ -189,8 +198,9 @@
             };
             entries.push((format!("{entry:?}"), entry));
         }
-        // A holder is done only once it is seen in service: here, in a later incarnation than the one that held the permit.
-        for (front, permit) in &agree.state.permits {
+        // A permit is done only once this planner has seen its holder in service again, in a later incarnation than the one
+        // that held the permit.
+        for (front, permit) in &agreed_log.state.permits {
             if planner.has_returned(front, permit, now) {
                 let entry = Entry::Done { front: front.clone(), number: permit.number };
                 entries.push((format!("{entry:?}"), entry));
@@ -198,14 +208,14 @@
         }
         for (name, entry) in entries {
             if self.is_due(name) {
-                agree.propose(entry);
+                agreed_log.propose(entry);
             }
         }
     }
 
     fn refuse(&self, why: yarrowspoke_fleet::wire::MessageError) -> LinkAnswer {
         self.planner.borrow_mut().count_rejected(&why);
-        log::warn!("fleet: a message is refused: {why}");
+        log::warn!("fleet: a message was rejected: {why}");
         LinkAnswer::refused(400, why)
     }
 
@@ -218,20 +228,20 @@
             (heartbeat.front.clone(), heartbeat.incarnation, heartbeat.reports.clone());
         match self.planner.borrow_mut().handle_heartbeat(self.now(), heartbeat) {
             Ok(mut answer) => {
-                reports.into_iter().for_each(|r| self.keep(&front, incarnation, r));
+                reports.into_iter().for_each(|r| self.store_report(&front, incarnation, r));
                 LinkAnswer::ok(encode_with_list(&mut answer))
             }
             Err(why) => {
-                log::warn!(front = front.as_str(), why:%; "fleet: a heartbeat is refused");
+                log::warn!(front = front.as_str(), why:%; "fleet: a heartbeat was rejected");
                 LinkAnswer::refused(400, why)
             }
         }
     }
 }
 
-/// An order as it comes.
+/// An order as an operator's command sends it.
 #[derive(Deserialize)]
-struct Ordered {
+struct OrderRequest {
     what: String,
     #[serde(default)]
     front: String,
@@ -251,77 +261,79 @@
     }
 }
 
-/// What part of an audit a query asks for.
-pub fn asked(query: &str) -> Result<AuditQuery, String> {
-    let mut asked = AuditQuery::default();
+/// Parses the query string of an audit request.
+pub fn parse_audit_query(query: &str) -> Result<AuditQuery, String> {
+    let mut audit_query = AuditQuery::default();
     for part in query.split('&').filter(|p| !p.is_empty()) {
         let (name, value) = part.split_once('=').unwrap_or((part, ""));
         let number =
             || value.parse::<u64>().map_err(|_| format!("{name}: found {value:?}, expected a whole number"));
         match name {
-            "front" => asked.front = Some(value.to_owned()),
-            "index" => asked.index = Some(number()?),
-            "from" => asked.from = Some(number()?),
-            "to" => asked.to = Some(number()?),
+            "front" => audit_query.front = Some(value.to_owned()),
+            "index" => audit_query.index = Some(number()?),
+            "from" => audit_query.from = Some(number()?),
+            "to" => audit_query.to = Some(number()?),
             _ => return Err(format!("found {name:?}, expected front, index, from or to")),
         }
     }
-    Ok(asked)
+    Ok(audit_query)
 }
 
-/// Runs a planner to its end; `found` says that its directory is new and that it never took part in an agreement.
+/// Runs a planner until it is stopped. `found` says that its directory is new and that this planner has never taken part in the
+/// replicated log.
 pub fn run(name: &str, operator: &Path, dir: Option<PathBuf>, found: bool) -> Result<(), String> {
     let file = yarrowspoke_operator::load(operator).map_err(|e| e.to_string())?;
     let shown = operator.display();
-    let fleet = file.fleet.ok_or_else(|| format!("{shown}: no section fleet, which a planner needs"))?.fleet;
+    let fleet =
+        file.fleet.ok_or_else(|| format!("{shown}: no section fleet, which a planner requires"))?.fleet;
     let member = fleet.member(name).filter(|m| m.role == Role::Planner);
     let names: Vec<&str> = fleet.planners().map(|p| p.name.as_str()).collect();
     let member =
         member.ok_or_else(|| format!("{shown}: no planner {name}, expected one of {}", names.join(", ")))?;
     let address = member.address.ok_or_else(|| format!("{shown}: the planner {name} has no address"))?;
-    let (mut book, mut writes, mut disk) = (ReportLog::default(), None, None);
+    let (mut report_log, mut writes, mut disk_thread) = (ReportLog::default(), None, None);
     let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |d| d.as_micros() as u64);
-    let agree = take_part(&fleet, name, incarnation, dir.as_deref(), found)?;
+    let agreed_log = join_log(&fleet, name, incarnation, dir.as_deref(), found)?;
     if let Some(dir) = dir {
         if !dir.is_dir() {
-            return Err(format!("{}: no such directory; it is not made by itself", dir.display()));
+            return Err(format!("{}: no such directory; a planner does not create it", dir.display()));
         }
-        let spoilt;
-        (book, spoilt) = read_report_log(&dir)?;
-        spoilt.iter().for_each(|s| log::error!("fleet: kept and not readable: {s}"));
+        let unreadable;
+        (report_log, unreadable) = read_report_log(&dir)?;
+        unreadable.iter().for_each(|s| log::error!("fleet: a stored report cannot be read: {s}"));
         let reports = Reports::open(&dir).map_err(|e| e.to_string())?;
-        let (to, from) = mpsc::sync_channel::<Write>(64);
+        let (sender, receiver) = mpsc::sync_channel::<Write>(64);
         let work = move || {
-            for (kept, gone) in from {
-                if let Err(e) = reports.keep(&kept, &gone) {
-                    log::error!("fleet: reports are not kept: {e}");
+            for (new, expired) in receiver {
+                if let Err(e) = reports.keep(&new, &expired) {
+                    log::error!("fleet: reports could not be written to disk: {e}");
                 }
             }
         };
         let thread =
             std::thread::Builder::new().name("reports".into()).spawn(work).map_err(|e| e.to_string())?;
-        (writes, disk) = (Some(to), Some(thread));
+        (writes, disk_thread) = (Some(sender), Some(thread));
     }
     let executor = Rc::new(LocalExecutor::new());
-    let done = async_io::block_on(executor.run(plan(
+    let result = async_io::block_on(executor.run(serve_planner(
         fleet,
         (name, incarnation),
         address,
-        (book, agree),
+        (report_log, agreed_log),
         writes,
         Rc::clone(&executor),
     )));
-    if let Some(thread) = disk {
+    if let Some(thread) = disk_thread {
         let _ = thread.join();
     }
-    done.map_err(|e| e.to_string())
+    result.map_err(|e| e.to_string())
 }
 
-async fn plan(
+async fn serve_planner(
     fleet: Fleet,
     (name, incarnation): (&str, u64),
     address: SocketAddr,
-    (book, agree): (ReportLog, Option<AgreedLog>),
+    (report_log, agreed_log): (ReportLog, Option<AgreedLog>),
     writes: Option<mpsc::SyncSender<Write>>,
     executor: Rc<LocalExecutor<'static>>,
 ) -> std::io::Result<()> {
@@ -333,88 +345,92 @@
         .filter(|p| p.name != name)
         .filter_map(|p| Some((p.name.clone(), p.address?)))
         .collect();
-    let (bounds, limits) = ((fleet.keep, fleet.keep_bytes), Limits::from_settings(&fleet));
-    let running = Rc::new(Running {
-        planner: RefCell::new(Planner::new(fleet, name, incarnation, 0, book)),
-        agree: RefCell::new(agree),
-        proposed: RefCell::default(),
-        begun: Instant::now(),
-        fresh: RefCell::default(),
-        keeps: writes.is_some(),
+    let (retention, limits) = ((fleet.keep, fleet.keep_bytes), Limits::from_settings(&fleet));
+    let running = Rc::new(RunningPlanner {
+        planner: RefCell::new(Planner::new(fleet, name, incarnation, 0, report_log)),
+        agreed_log: RefCell::new(agreed_log),
+        proposed_at: RefCell::default(),
+        started: Instant::now(),
+        unwritten: RefCell::default(),
+        has_directory: writes.is_some(),
     });
     let handled = Rc::clone(&running);
     let answer: Answering = Rc::new(move |head, body| handled.answer(head, body));
     executor.spawn(serve(listener, Rc::clone(&executor), answer)).detach();
     for (other, address) in others {
-        executor.spawn(agree_with(Rc::clone(&running), other.clone(), address)).detach();
+        executor.spawn(send_log_batches(Rc::clone(&running), other.clone(), address)).detach();
         executor.spawn(pull(Rc::clone(&running), other, address)).detach();
     }
     log::info!("planner {name} listens on {address}");
-    let work = async {
+    let housekeeping = async {
         loop {
-            Timer::after(HOUSEKEEPING).await;
-            housekeep(&running, writes.as_ref(), bounds);
+            Timer::after(HOUSEKEEPING_INTERVAL).await;
+            housekeep(&running, writes.as_ref(), retention);
         }
     };
     let ticks = async {
         loop {
-            Timer::after(AGREE_EVERY).await;
-            if let Some(agree) = running.agree.borrow_mut().as_mut() {
-                agree.tick();
+            Timer::after(LOG_TICK_INTERVAL).await;
+            if let Some(agreed_log) = running.agreed_log.borrow_mut().as_mut() {
+                agreed_log.tick();
             }
-            running.see(&limits);
+            running.propose_observations(&limits);
         }
     };
-    let work = future::or(work, ticks);
+    let work = future::or(housekeeping, ticks);
     let stop = async {
         signals.next().await;
     };
     future::or(work, stop).await;
-    housekeep(&running, writes.as_ref(), bounds);
+    housekeep(&running, writes.as_ref(), retention);
     log::info!("planner {name} stops");
     Ok(())
 }
 
-fn housekeep(running: &Running, writes: Option<&mpsc::SyncSender<Write>>, (keep, keep_bytes): (u64, u64)) {
+fn housekeep(
+    running: &RunningPlanner,
+    writes: Option<&mpsc::SyncSender<Write>>,
+    (keep, keep_bytes): (u64, u64),
+) {
     let mut planner = running.planner.borrow_mut();
     for (front, step) in planner.changed_steps(running.now()) {
         log::info!(front = front.as_str(), step:?; "fleet: step");
     }
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
-    let gone: Vec<Key> = planner.report_log.prune(wall.saturating_sub(keep), keep_bytes);
+    let expired: Vec<Key> = planner.report_log.prune(wall.saturating_sub(keep), keep_bytes);
     let Some(writes) = writes else { return };
-    let fresh = running.fresh.take();
-    if fresh.is_empty() && gone.is_empty() {
+    let new = running.unwritten.take();
+    if new.is_empty() && expired.is_empty() {
         return;
     }
-    // A disk that is behind holds up no heartbeat: what it could not take yet is tried again.
-    if let Err(mpsc::TrySendError::Full((fresh, _))) = writes.try_send((fresh, gone)) {
-        running.fresh.borrow_mut().extend(fresh);
+    // A slow disk must not delay heartbeats: reports that the queue cannot take now are passed on again later.
+    if let Err(mpsc::TrySendError::Full((new, _))) = writes.try_send((new, expired)) {
+        running.unwritten.borrow_mut().extend(new);
     }
 }
 
-/// Carries what the agreement has to say to another planner, in order, one batch at a time.
-async fn agree_with(running: Rc<Running>, other: String, address: SocketAddr) {
-    let mut line = None;
+/// Sends the messages of the replicated log to another planner, in order and one batch at a time.
+async fn send_log_batches(running: Rc<RunningPlanner>, other: String, address: SocketAddr) {
+    let mut connection = None;
     loop {
-        let batch = running.agree.borrow_mut().as_mut().and_then(|a| a.next_batch(&other));
+        let batch = running.agreed_log.borrow_mut().as_mut().and_then(|a| a.next_batch(&other));
         let Some(batch) = batch else {
-            Timer::after(AGREE_EVERY / 4).await;
+            Timer::after(LOG_TICK_INTERVAL / 4).await;
             continue;
         };
         let body = encode(&batch);
-        let asked = exchange(&mut line, address, ("POST", "/fleet/agree"), &body);
-        let went = within(AGREE_WITHIN, asked).await;
-        if went.is_none() {
-            line = None;
+        let call = exchange(&mut connection, address, ("POST", "/fleet/agree"), &body);
+        let reply = within(BATCH_TIMEOUT, call).await;
+        if reply.is_none() {
+            connection = None;
         }
-        if let Some(agree) = running.agree.borrow_mut().as_mut() {
-            agree.batch_sent(&other, matches!(went, Some(Ok(_))));
+        if let Some(agreed_log) = running.agreed_log.borrow_mut().as_mut() {
+            agreed_log.batch_sent(&other, matches!(reply, Some(Ok(_))));
         }
     }
 }
 
-fn take_part(
+fn join_log(
     fleet: &Fleet,
     name: &str,
     incarnation: u64,
@@ -422,36 +438,40 @@
     found: bool,
 ) -> Result<Option<AgreedLog>, String> {
     let names: Vec<String> = fleet.planners().map(|p| p.name.clone()).collect();
-    // One planner alone has nobody to agree with; its own word would be gone with it.
+    // A single planner has no quorum to join, and a decision of its own would be lost with it.
     let Some(dir) = dir.filter(|_| names.len() > 1) else { return Ok(None) };
     match AgreedLog::open(names, name, incarnation, Some(dir), found) {
-        Ok(agree) => Ok(Some(agree)),
+        Ok(agreed_log) => Ok(Some(agreed_log)),
         Err(JoinError::Io(e)) => Err(format!("{}: {e}", dir.display())),
         Err(JoinError::LostState) => {
-            log::warn!("fleet: {APART}");
+            log::warn!("fleet: {NOT_JOINED}");
             Ok(None)
         }
     }
 }
 
-async fn pull(running: Rc<Running>, other: String, address: SocketAddr) {
-    let mut line = None;
+async fn pull(running: Rc<RunningPlanner>, other: String, address: SocketAddr) {
+    let mut connection = None;
     loop {
-        let begun = Instant::now();
+        let started = Instant::now();
         let body = encode(&running.planner.borrow().pull_request());
-        let asked = exchange(&mut line, address, ("POST", "/fleet/pull"), &body);
-        match within(PULL_WITHIN, asked).await {
+        let call = exchange(&mut connection, address, ("POST", "/fleet/pull"), &body);
+        match within(PULL_TIMEOUT, call).await {
             Some(Ok(bytes)) => match decode::<PullResponse>(&bytes) {
-                Ok(pushed) if pushed.planner == other => {
-                    let fresh = running.planner.borrow_mut().apply_pull_response(running.now(), pushed);
-                    fresh.into_iter().for_each(|(f, i, r)| running.keep(&f, i, r));
+                Ok(response) if response.planner == other => {
+                    let new = running.planner.borrow_mut().apply_pull_response(running.now(), response);
+                    new.into_iter().for_each(|(f, i, r)| running.store_report(&f, i, r));
+                }
+                Ok(response) => log::error!("fleet: {other} answers as {}", response.planner),
+                Err(e) => {
+                    log::warn!(planner = other.as_str(), why:% = e; "fleet: an answer to a pull was rejected")
                 }
-                Ok(pushed) => log::error!("fleet: {other} answers as {}", pushed.planner),
-                Err(e) => log::warn!(planner = other.as_str(), why:% = e; "fleet: an answer is refused"),
             },
-            Some(Err(e)) => log::debug!(planner = other.as_str(), why:% = e; "fleet: not heard"),
-            None => line = None,
+            Some(Err(e)) => {
+                log::debug!(planner = other.as_str(), why:% = e; "fleet: planner did not answer a pull")
+            }
+            None => connection = None,
         }
-        Timer::at(begun + PULL_EVERY).await;
+        Timer::at(started + PULL_INTERVAL).await;
     }
 }
