--- a/crates/yarrowspoke-front/src/fleet_member.rs
+++ b/crates/yarrowspoke-front/src/fleet_member.rs
@@ -64,13 +64,13 @@
     *DIGEST.get_or_init(|| std::env::current_exe().and_then(std::fs::read).map_or(0, |b| digest(&b)))
 }
 
-fn phase_code(phase: Phase) -> u8 {
+fn phase(phase: Phase) -> u8 {
     PHASES.iter().position(|p| *p == phase).unwrap_or(0) as u8
 }
 
 fn fleet_status(status: &RolloutStatus) -> version::RolloutStatus {
     let cap = (status.cap.clamp(0.0, 1.0) * 1e6).round() as u32;
-    version::RolloutStatus { build: status.build, stage: status.stage, phase: phase_code(status.phase), cap }
+    version::RolloutStatus { build: status.build, stage: status.stage, phase: phase(status.phase), cap }
 }
 
 /// A front's membership in a fleet.
--- a/crates/yarrowspoke-front/src/ledger_writer.rs
+++ b/crates/yarrowspoke-front/src/ledger_writer.rs
@@ -199,8 +199,8 @@
             return;
         }
         let lines = self.rows.borrow().values().map(|r| snapshot_line(r, names)).collect();
-        let status = self.status.borrow().clone();
-        let known = Known { at: now, deployment: deployment(names), index: 0, lines, news: status };
+        let news = self.status.borrow().clone();
+        let known = Known { at: now, deployment: deployment(names), index: 0, lines, news };
         if ledger.writer.give(Op::Snapshot(known)).is_ok() {
             self.changed.set(false);
             self.snapshot_at.set(now);
