--- a/crates/yarrowspoke-front/src/fleet_member.rs
+++ b/crates/yarrowspoke-front/src/fleet_member.rs
@@ -59,7 +59,7 @@
 }
 
 /// Returns a digest of the running program. The file is read once, even if one process runs many members.
-fn program_digest() -> u64 {
+fn program() -> u64 {
     static DIGEST: OnceLock<u64> = OnceLock::new();
     *DIGEST.get_or_init(|| std::env::current_exe().and_then(std::fs::read).map_or(0, |b| digest(&b)))
 }
@@ -102,7 +102,7 @@
     ) -> Rc<Self> {
         let (config, operator, settings) = digests;
         let list = version::List { index: 0, source: ListSource::Cached, epoch: 0, digest: 0 };
-        let version = Version { list, rollout: None, config, operator, settings, program: program_digest() };
+        let version = Version { list, rollout: None, config, operator, settings, program: program() };
         let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |d| d.as_micros() as u64);
         let retry_after = fleet.back_after.max(fleet.renew).min(max_retry_after);
         Rc::new(Self {
--- a/crates/yarrowspoke-front/tests/bounds.rs
+++ b/crates/yarrowspoke-front/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! What a front holds is bounded: descriptors, memory for bodies, timers and lines of the log.
+//! Bounds on the resources of a front: descriptors, memory for bodies, timers and log lines.
 
 use async_executor::LocalExecutor;
 use std::io::Write;
@@ -17,56 +17,59 @@
 use yarrowspoke_front::net::machines::Machines;
 
 #[test]
-fn a_store_gives_no_more_than_it_has_and_takes_back_what_is_dropped() {
-    let store = BodyMemory::new(100);
-    let first = store.reserve(60);
-    assert!(first.is_some() && store.reserve(41).is_none());
-    assert!(store.reserve(40).is_some());
+fn body_memory_is_bounded_and_released_when_a_reservation_is_dropped() {
+    let body_memory = BodyMemory::new(100);
+    let first = body_memory.reserve(60);
+    assert!(first.is_some() && body_memory.reserve(41).is_none());
+    assert!(body_memory.reserve(40).is_some());
     drop(first);
-    assert!(store.reserve(100).is_some());
+    assert!(body_memory.reserve(100).is_some());
 }
 
 #[test]
-fn one_of_each_sort_yields_the_longest_idle_first() {
+fn one_idle_connection_of_each_group_closes_the_longest_idle_first() {
     use futures_lite::future::{block_on, poll_once};
-    let places = DescriptorBudget::new(100);
-    let mut idle: Vec<_> =
-        [false, false, true].map(|fresh| Box::pin(places.idle_close_requested(fresh))).into_iter().collect();
-    let mut ended = || -> Vec<bool> { idle.iter_mut().map(|i| block_on(poll_once(i)).is_some()).collect() };
-    assert_eq!(ended(), [false, false, false]);
-    places.request_idle_close();
-    assert_eq!(ended(), [true, false, true]);
+    let descriptors = DescriptorBudget::new(100);
+    let mut idle: Vec<_> = [false, false, true]
+        .map(|fresh| Box::pin(descriptors.idle_close_requested(fresh)))
+        .into_iter()
+        .collect();
+    let mut closed = || -> Vec<bool> { idle.iter_mut().map(|i| block_on(poll_once(i)).is_some()).collect() };
+    assert_eq!(closed(), [false, false, false]);
+    descriptors.request_idle_close();
+    assert_eq!(closed(), [true, false, true]);
 }
 
 #[test]
-fn each_side_has_a_most_and_both_have_a_sum() {
-    let places = DescriptorBudget::new(100);
+fn each_side_has_a_limit_and_both_share_a_total() {
+    let descriptors = DescriptorBudget::new(100);
     let mut clients: Vec<_> =
-        std::iter::from_fn(|| places.can_accept_client().then(|| places.take_for_client())).collect();
-    assert_eq!((clients.len(), places.is_running_low()), (70, true));
+        std::iter::from_fn(|| descriptors.can_accept_client().then(|| descriptors.take_for_client()))
+            .collect();
+    assert_eq!((clients.len(), descriptors.is_running_low()), (70, true));
     clients.truncate(29);
-    assert!(!places.is_running_low());
-    clients.push(places.take_for_client());
-    assert!(places.is_running_low());
-    clients.extend((30..70).map(|_| places.take_for_client()));
-    let machines: Vec<_> = std::iter::from_fn(|| places.take_for_machine()).collect();
+    assert!(!descriptors.is_running_low());
+    clients.push(descriptors.take_for_client());
+    assert!(descriptors.is_running_low());
+    clients.extend((30..70).map(|_| descriptors.take_for_client()));
+    let machines: Vec<_> = std::iter::from_fn(|| descriptors.take_for_machine()).collect();
     assert_eq!(machines.len(), 30);
-    assert!(places.is_full());
+    assert!(descriptors.is_full());
     clients.truncate(50);
-    let more: Vec<_> = std::iter::from_fn(|| places.take_for_machine()).collect();
-    assert_eq!((more.len(), places.in_use()), (10, (50, 40)));
+    let more: Vec<_> = std::iter::from_fn(|| descriptors.take_for_machine()).collect();
+    assert_eq!((more.len(), descriptors.in_use()), (10, (50, 40)));
     drop((clients, machines, more));
-    assert_eq!(places.in_use(), (0, 0));
+    assert_eq!(descriptors.in_use(), (0, 0));
 }
 
 #[test]
-fn a_request_that_has_ended_leaves_no_timer_behind() {
-    // Danger: clients may say that they wait for an hour; what is kept so long for each is never given back.
+fn a_finished_request_leaves_no_timer() {
+    // Clients may state a budget of an hour. Anything kept that long for each finished request accumulates without bound.
     let config = config::parse(include_bytes!("../../../examples/config.json")).unwrap();
-    let places = DescriptorBudget::new(100);
-    let (hub, _inputs) = EventBus::new(
+    let descriptors = DescriptorBudget::new(100);
+    let (event_bus, _inputs) = EventBus::new(
         &config.settings,
-        Rc::clone(&places),
+        Rc::clone(&descriptors),
         0,
         Classifier::new(1),
         LedgerWriter::default(),
@@ -74,12 +77,12 @@
     );
     let outside = Outside {
         executor: Rc::new(LocalExecutor::new()),
-        machines: Machines::new(places, config.settings.transport),
+        machines: Machines::new(descriptors, config.settings.transport),
         discovery: Discovery::new(config.discovery, config.settings.names.clone(), 0, 0),
         platform: None,
         peers: None,
     };
-    let mut driver = Driver::start(1, config.settings, (0, Vec::new()), None, Rc::clone(&hub), outside);
+    let mut driver = Driver::start(1, config.settings, (0, Vec::new()), None, Rc::clone(&event_bus), outside);
     let before = driver.held().1;
     for n in 0..100 {
         let call = Call {
@@ -96,7 +99,7 @@
             policy: Default::default(),
             body: Vec::new(),
         };
-        let exchange = hub.open_exchange(call, 0);
+        let exchange = event_bus.open_exchange(call, 0);
         driver.take(Input::Arrived(Rc::clone(&exchange)));
         if exchange.abandon() {
             driver.take(Input::ClientLeft(exchange.id));
@@ -106,13 +109,13 @@
 }
 
 #[test]
-fn a_flood_is_cut_and_a_stuck_writer_never_blocks() {
-    // Nobody reads: a blocking gate would hang here.
+fn excess_log_lines_are_dropped_and_a_blocked_writer_never_blocks_the_front() {
+    // Nothing reads the queue, so a writer that blocks would hang here.
     let (lines, queue) = sync_channel(2);
-    let mut gate = RateLimitedWriter::new(lines, 5.0);
+    let mut writer = RateLimitedWriter::new(lines, 5.0);
     for _ in 0..10_000 {
-        assert_eq!(gate.write(b"line\n").unwrap(), 5);
+        assert_eq!(writer.write(b"line\n").unwrap(), 5);
     }
     assert_eq!(queue.try_iter().count(), 2);
-    assert!(gate.dropped() > 9_000);
+    assert!(writer.dropped() > 9_000);
 }
--- a/crates/yarrowspoke-front/tests/common/mod.rs
+++ b/crates/yarrowspoke-front/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Starts the program with stand-ins around it, on free ports, and speaks to it as a client.
+//! Test fixture: starts the program on free ports, with fakes of discovery, the platform and the machines, and sends it
+//! requests as a client.
 #![allow(dead_code)]
 
 use std::io::{BufReader, Read, Write};
@@ -9,35 +10,38 @@
 use std::time::{Duration, Instant};
 use yarrowspoke_toy::{read_message, Behaviour, Discovery, Machine, Message, Platform};
 
-/// Far longer than anything here takes: a test that waits so long has failed.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Time after which a wait has failed; it is much longer than any step of these tests takes.
+const TIMEOUT: Duration = Duration::from_secs(20);
 static NEXT: AtomicUsize = AtomicUsize::new(0);
 
 pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Where a program listens that binds it later. Danger: a port that the kernel gives out may be given to a connection,
-/// or to another test, before the program has it; so each test process has a loopback address of its own. Nor is a port
-/// tried by listening at it: a process that another thread starts meanwhile holds a copy of that socket until its exec.
+/// Returns an address that a program binds later.
+///
+/// A port assigned by the kernel could be given to a connection or to another test before the program binds it, so each test
+/// process uses a loopback address of its own. A port is not tested by listening on it either: a process that another thread
+/// starts in the meantime holds a copy of that socket until its exec.
 pub fn free_port() -> SocketAddr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
-    let own = |n: usize| SocketAddr::from(([127, 64 + high % 64, middle, low], 5_000 + (n % 50_000) as u16));
+    let address_of =
+        |n: usize| SocketAddr::from(([127, 64 + high % 64, middle, low], 5_000 + (n % 50_000) as u16));
     let numbers = std::iter::repeat_with(|| NEXT.fetch_add(1, Ordering::Relaxed));
-    let mut addresses = numbers.map(own);
+    let mut addresses = numbers.map(address_of);
     addresses.find(|address| TcpStream::connect(address).is_err()).unwrap()
 }
 
-/// Waits until `done`.
+/// Waits until `done` returns true; panics after [`TIMEOUT`].
 pub fn wait_until(what: &str, mut done: impl FnMut() -> bool) {
-    let begun = Instant::now();
+    let started = Instant::now();
     while !done() {
-        assert!(begun.elapsed() < PATIENCE, "waited in vain until {what}");
+        assert!(started.elapsed() < TIMEOUT, "timed out waiting until {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A front with its surroundings.
+/// A running front with fakes of discovery, the platform and the machines.
 pub struct TestEnvironment {
     pub listen: SocketAddr,
     pub discovery: Discovery,
@@ -50,34 +54,34 @@
 }
 
 impl TestEnvironment {
-    /// A front among as many machines as there are behaviours, all on build 41, released.
+    /// Starts a front with one machine for each behaviour, all on build 41, which is released.
     pub fn start(behaviours: &[Behaviour]) -> Self {
         Self::with_sockets(behaviours, 1024)
     }
 
-    /// The same with a limit on descriptors.
+    /// Starts a front as [`TestEnvironment::start`] does, with a limit on file descriptors.
     pub fn with_sockets(behaviours: &[Behaviour], sockets: usize) -> Self {
         Self::with(behaviours, sockets, None)
     }
 
-    /// A front with this operator's file.
+    /// Starts a front with this operator's file.
     pub fn with_rules(behaviours: &[Behaviour], operator: &str) -> Self {
         Self::with(behaviours, 1024, Some(operator))
     }
 
-    /// A front whose configuration has `from` replaced.
+    /// Starts a front in whose configuration `from` is replaced by `to`.
     pub fn with_config_change(behaviours: &[Behaviour], from: &str, to: &str) -> Self {
-        Self::made(behaviours, 1024, None, |config| {
+        Self::start_with(behaviours, 1024, None, |config| {
             assert!(config.contains(from));
             config.replace(from, to)
         })
     }
 
     fn with(behaviours: &[Behaviour], sockets: usize, operator: Option<&str>) -> Self {
-        Self::made(behaviours, sockets, operator, |config| config)
+        Self::start_with(behaviours, sockets, operator, |config| config)
     }
 
-    fn made(
+    fn start_with(
         behaviours: &[Behaviour],
         sockets: usize,
         operator: Option<&str>,
@@ -99,24 +103,24 @@
         let config = change(config);
         let operator = operator.map(|text| temp_file("operator", text));
         let (front, path) = spawn_at(&config, operator.as_deref());
-        let world = Self { listen, discovery, platform, machines, front, config, path, operator };
-        world.wait_ready();
-        world
+        let environment = Self { listen, discovery, platform, machines, front, config, path, operator };
+        environment.wait_ready();
+        environment
     }
 
-    /// Ends the front without a word.
+    /// Kills the front with SIGKILL.
     pub fn kill(&mut self) {
         self.front.kill().unwrap();
         self.front.wait().unwrap();
     }
 
-    /// Starts it again by the same files.
+    /// Starts the front again with the same files.
     pub fn restart(&mut self) {
         (self.front, self.path) = spawn_at(&self.config, self.operator.as_deref());
         self.wait_ready();
     }
 
-    /// Leaves the list out of its configuration from now on.
+    /// Removes the list of machines from the front's configuration.
     pub fn forget_list(&mut self) {
         let list = self.discovery.snapshot();
         assert!(self.config.contains(&list));
@@ -144,29 +148,29 @@
     /// Replaces the configuration and sends SIGHUP to the front.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.path, config).unwrap();
-        self.hang_up();
+        self.send_sighup();
     }
 
-    /// Replaces the operator's file, in one step, and sends SIGHUP to the front.
+    /// Replaces the operator's file atomically and sends SIGHUP to the front.
     pub fn reload_rules(&self, text: &str) {
         let path = self.operator.as_ref().unwrap();
         std::fs::rename(temp_file("next", text), path).unwrap();
-        self.hang_up();
+        self.send_sighup();
     }
 
-    fn hang_up(&self) {
+    fn send_sighup(&self) {
         let kill = Command::new("kill").args(["-HUP", &self.front.id().to_string()]).status();
         assert!(kill.unwrap().success());
     }
 
-    /// The front's configuration, with discovery and platform elsewhere.
+    /// Returns the front's configuration with the addresses of another discovery and platform.
     pub fn config_with(&self, discovery: &Discovery, platform: &Platform) -> String {
         self.config
             .replace(&self.discovery.address.to_string(), &discovery.address.to_string())
             .replace(&self.platform.address.to_string(), &platform.address.to_string())
     }
 
-    /// Requests that all machines got.
+    /// Returns the number of requests that the machines received.
     pub fn seen(&self) -> usize {
         self.machines.iter().map(|m| m.seen().len()).sum()
     }
@@ -179,17 +183,17 @@
     }
 }
 
-/// Starts the program with this configuration.
+/// Starts the program with this configuration and no operator's file.
 pub fn spawn(config: &str) -> Child {
     spawn_at(config, None).0
 }
 
-/// The repository's root.
+/// Returns the root of the repository.
 pub fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Writes a file of this name's kind, and no other test's.
+/// Writes a temporary file whose name ends in `name` and that no other test uses.
 pub fn temp_file(name: &str, text: &str) -> PathBuf {
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("yarrowspoke-test-{}-{number}-{name}", std::process::id()));
@@ -197,7 +201,7 @@
     path
 }
 
-/// Runs the program to its end, by the example's configuration.
+/// Runs the program to its end with the example configuration.
 pub fn run_program(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_yarrowspoke"));
     command.args(args).env("PROXY_CONFIG", root().join("examples/config.json")).output().unwrap()
@@ -214,7 +218,7 @@
     (front, path)
 }
 
-/// A client, if somebody listens.
+/// Connects a client, if something listens at the address.
 pub fn connect(to: SocketAddr) -> Option<Client> {
     TcpStream::connect(to).ok().map(Client::over)
 }
@@ -227,7 +231,7 @@
 
 impl Client {
     fn over(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let reader = BufReader::new(stream.try_clone().unwrap());
         Self { stream, reader }
     }
@@ -237,7 +241,7 @@
         let _ = self.stream.write_all(bytes);
     }
 
-    /// The next answer; `None` if the connection ended.
+    /// Returns the next answer; `None` if the connection was closed.
     pub fn answer(&mut self) -> Option<Message> {
         read_message(&mut self.reader).ok().flatten()
     }
@@ -247,7 +251,7 @@
         self.answer()
     }
 
-    /// Whether the front has closed the connection, without waiting for it.
+    /// Returns whether the front has closed the connection, without waiting for it.
     pub fn has_ended(&self) -> bool {
         self.stream.set_nonblocking(true).unwrap();
         let ended = matches!(self.stream.peek(&mut [0; 1]), Ok(0));
@@ -255,23 +259,23 @@
         ended
     }
 
-    /// True once the front has closed the connection and nothing more came.
+    /// Waits until the front closes the connection or sends something; returns whether it closed it.
     pub fn is_closed(&mut self) -> bool {
         matches!(self.reader.read(&mut [0; 1]), Ok(0))
     }
 }
 
-/// An id that no other call has.
+/// Returns a call id that no other call uses.
 pub fn unique_id() -> String {
-    format!("fresh-{}", NEXT.fetch_add(1, Ordering::Relaxed))
+    format!("unique-{}", NEXT.fetch_add(1, Ordering::Relaxed))
 }
 
-/// A safe call.
+/// Returns a request of an idempotent class.
 pub fn get(id: &str, budget: &str) -> String {
     format!("GET /article/7?q=1 HTTP/1.1\r\nHost: h\r\nX-Call-Id: {id}\r\nX-Call-Class: article\r\nX-Caller: acme\r\nX-Budget: {budget}\r\n\r\n")
 }
 
-/// A call with an effect.
+/// Returns a request of a class that must not run twice.
 pub fn post(id: &str, budget: &str) -> String {
     format!("POST /comment HTTP/1.1\r\nHost: h\r\nX-Call-Id: {id}\r\nX-Call-Class: comment\r\nX-Caller: acme\r\nX-Budget: {budget}\r\nContent-Length: 5\r\n\r\nhello")
 }
--- a/crates/yarrowspoke-front/tests/operator.rs
+++ b/crates/yarrowspoke-front/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's file from the command line: what is refused, where, and that nothing starts on it.
+//! The operator's file on the command line: faults are reported with their position, and nothing starts with a faulty file.
 
 mod common;
 
@@ -15,14 +15,14 @@
 }
 
 #[test]
-fn check_tells_each_fault_with_its_place_and_a_bad_file_starts_nothing() {
+fn check_reports_each_fault_with_its_position_and_a_faulty_file_starts_nothing() {
     let bad = temp_file("bad", BAD);
     let path = bad.to_str().unwrap();
     for args in [&["check", path][..], &["power", path], &["serve", "--operator", path]] {
         let out = run_program(args);
         assert!(!out.status.success(), "{args:?}");
-        for place in [":2:16: found 0.9, expected a rate above 0 and under 0.5", ":4:16: found -1"] {
-            assert!(error(&out).contains(place), "{args:?}: {}", error(&out));
+        for fault in [":2:16: found 0.9, expected a rate above 0 and under 0.5", ":4:16: found -1"] {
+            assert!(error(&out).contains(fault), "{args:?}: {}", error(&out));
         }
     }
     let out = run_program(&["check", "nowhere.sexp"]);
@@ -30,12 +30,12 @@
 }
 
 #[test]
-fn the_deployed_file_is_right_and_check_warns_where_a_fleet_is_too_thin() {
+fn the_deployed_file_is_valid_and_check_warns_if_a_fleet_has_too_little_traffic() {
     let deployed = root().join("deploy/operator.sexp");
     let path = deployed.to_str().unwrap();
-    let ample =
+    let large_fleet =
         ["check", path, "--fronts", "1", "--requests", "100000", "--stage", "60", "--machines", "2000"];
-    let out = run_program(&ample);
+    let out = run_program(&large_fleet);
     assert!(out.status.success() && !String::from_utf8_lossy(&out.stdout).contains("warning"), "{out:?}");
     let out = run_program(&["check", path, "--fronts", "180", "--requests", "1000"]);
     assert!(out.status.success() && String::from_utf8_lossy(&out.stdout).contains("warning"), "{out:?}");
@@ -47,14 +47,14 @@
 }
 
 #[test]
-fn files_are_read_as_one_whole_so_that_a_bad_one_changes_nothing() {
+fn files_are_read_as_a_whole_so_that_a_faulty_one_changes_nothing() {
     let config = root().join("examples/config.json");
-    let operator = temp_file("turns", GOOD);
+    let operator = temp_file("changing", GOOD);
     let files = Files { config, operator: Some(operator.clone()) };
     let read = files.read(None).unwrap().config.settings.module.error_rates.unwrap();
     assert_eq!((read.false_rollback, read.min_slowdown), (0.01, 2.0));
     std::fs::write(&operator, BAD).unwrap();
-    assert!(files.read(None).is_err(), "a reload acts on what was read whole, and on nothing else");
+    assert!(files.read(None).is_err(), "a reload must not apply a file that could not be read as a whole");
     std::fs::write(&operator, "").unwrap();
     assert_eq!(files.read(None).unwrap().config.settings.module.error_rates, None);
 }
