--- a/crates/yarrowspoke-front/tests/fleet.rs
+++ b/crates/yarrowspoke-front/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Many processes of the program with faults between them, by the laboratory's rig: what the fleet says of itself is held
-//! against what stand-ins saw. The checker is tried on broken fronts and planners too.
+//! Fleets of many processes with faults between them, run by the lab. What the fleet reports of itself is compared with what
+//! the fakes observed. The checker is also tested on deliberately broken fronts and planners (mutants).
 
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -9,11 +9,11 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_yarrowspoke");
 
-/// One test at a time: some dozens of processes each are enough for a small machine.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Serialises the tests, since each starts some dozens of processes, which is all that a small machine can run.
+static SERIAL: Mutex<()> = Mutex::new(());
 
-fn alone() -> MutexGuard<'static, ()> {
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+fn serial() -> MutexGuard<'static, ()> {
+    SERIAL.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn dir(name: &str) -> PathBuf {
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn the_audit_holds_against_what_stand_ins_saw_and_the_limits_are_kept() {
-    let _alone = alone();
+fn the_audit_agrees_with_what_the_fakes_observed_and_the_limits_hold() {
+    let _serial = serial();
     let dir = dir("sound");
     let trials = Trials {
         program: PROGRAM.into(),
@@ -39,22 +39,26 @@
     };
     let report = run(&trials, || ()).unwrap();
     assert!(report.held(), "{}", report.findings.told());
-    // Every step of the ladder was met, or nothing would have been shown.
-    let f = &report.findings;
+    // Every step of the escalation must occur; otherwise the run shows nothing.
+    let findings = &report.findings;
     assert!(
-        f.stragglers >= 4 && f.reconciled >= 2 && f.quarantined >= 2 && f.attempts_seen > 1_000,
+        findings.stragglers >= 4
+            && findings.reconciled >= 2
+            && findings.quarantined >= 2
+            && findings.attempts_seen > 1_000,
         "{}",
-        f.told()
+        findings.told()
     );
     std::fs::remove_dir_all(dir).unwrap();
 }
 
-/// Mutants tried at every run; the laboratory's command tries all of them.
-const TRIED: [&str; 4] = ["relay-ignored", "out-still-serves", "attempts-uncounted", "lease-unchecked"];
+/// Mutants tested in every run; the lab's command tests all of them.
+const TESTED_MUTANTS: [&str; 4] =
+    ["relay-ignored", "out-still-serves", "attempts-uncounted", "lease-unchecked"];
 
 #[test]
-fn broken_fronts_and_planners_are_found() {
-    let _alone = alone();
+fn broken_fronts_and_planners_are_detected() {
+    let _serial = serial();
     let dir = dir("mutants");
     let dir_of = &dir;
     let found = move |mutant: &'static str| {
@@ -62,7 +66,7 @@
         (mutant, check(&watched).wrongs())
     };
     let found: Vec<_> = std::thread::scope(|scope| {
-        let tried: Vec<_> = TRIED.iter().map(|m| scope.spawn(move || found(m))).collect();
+        let tried: Vec<_> = TESTED_MUTANTS.iter().map(|m| scope.spawn(move || found(m))).collect();
         tried.into_iter().map(|t| t.join().unwrap()).collect()
     });
     assert!(found.iter().all(|f| !f.1.is_empty()), "{found:?}");
@@ -71,9 +75,10 @@
 
 #[test]
 fn a_front_cut_from_its_sources_is_reconciled_by_planners() {
-    let _alone = alone();
+    let _serial = serial();
     let dir = dir("stale");
-    // The same without planners acts on what is old to the end (docs/measurements/fleet.md); the bounds here are wide.
+    // Without planners such a front acts on a stale list until the end of the run (docs/measurements/fleet.md); the bound here is
+    // wide.
     let report = before::run(&before::options(Path::new(PROGRAM), &dir, 1, 3)).unwrap();
     let worst = report.rows.iter().map(|r| r.old_list_ms.max(r.old_news_ms)).max().unwrap();
     assert!(worst < 4_000, "{}", before::table(&report));
@@ -81,15 +86,15 @@
 }
 
 #[test]
-fn a_schedule_is_its_seeds_alone() {
+fn a_schedule_depends_only_on_its_seed() {
     assert_eq!(schedule::draw(5, 8), schedule::draw(5, 8));
     assert_ne!(schedule::draw(5, 8), schedule::draw(6, 8));
     assert!((0..200).flat_map(|s| schedule::draw(s, 8)).all(|f| f.at < f.until && f.who < 8));
 }
 
 #[test]
-fn all_fronts_are_restarted_within_agreed_limits_while_planners_fail() {
-    let _alone = alone();
+fn all_fronts_are_restarted_within_the_limits_while_planners_fail() {
+    let _serial = serial();
     let dir = dir("agreed");
     let found = std::thread::scope(|scope| {
         let dir = &dir;
@@ -99,15 +104,18 @@
         let tried: Vec<_> = [3, 4].map(|seed| scope.spawn(move || at(seed))).into_iter().collect();
         tried.into_iter().map(|t| t.join().unwrap()).collect::<Vec<_>>()
     });
-    for f in found {
-        assert!(f.wrongs().is_empty() && f.restarts == 6 && f.grants >= 6, "{f:?}");
+    for findings in found {
+        assert!(
+            findings.wrongs().is_empty() && findings.restarts == 6 && findings.grants >= 6,
+            "{findings:?}"
+        );
     }
     std::fs::remove_dir_all(dir).unwrap();
 }
 
 #[test]
-fn planners_that_forget_the_limits_are_found() {
-    let _alone = alone();
+fn planners_that_forget_the_limits_are_detected() {
+    let _serial = serial();
     let dir = dir("agreed-mutants");
     let found = agreed::play(Path::new(PROGRAM), &dir, 3, Some("limit-forgotten")).unwrap();
     assert!(found.wrongs().iter().any(|w| w.contains("fronts_over_limit")), "{found:?}");
--- a/crates/yarrowspoke-front/tests/paced.rs
+++ b/crates/yarrowspoke-front/tests/paced.rs
@@ -1,5 +1,5 @@
-//! Many processes with the form `paced`: what passes between fronts and planners as relays between them counted it, and that
-//! nothing is known later or less for it.
+//! Fleets of many processes with the form `paced`. Relays between fronts and planners count the traffic; the tests check that it
+//! is less than without the form, and that planners and fronts are informed no later and of no less.
 
 use std::path::{Path, PathBuf};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -13,14 +13,14 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_yarrowspoke");
 const FLEET: &str = "(renew 0.2) (lease 2) (behind 1) (shut-after 30) (alone narrow)";
 const PACED: &str = "(paced (pace 0.6) (lists delta) (spans home))";
-/// A straggler that reaches a planner has what it lacks within this, as the trials' checker has it too.
-const RECONCILED_WITHIN: u64 = 1_800_000;
+/// Microseconds within which a straggler that reaches a planner is reconciled; the checker of the trials uses the same bound.
+const RECONCILIATION_LIMIT_US: u64 = 1_800_000;
 
-/// One test at a time: some dozens of processes each are enough for a small machine.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Serialises the tests, since each starts some dozens of processes, which is all that a small machine can run.
+static SERIAL: Mutex<()> = Mutex::new(());
 
-fn alone() -> MutexGuard<'static, ()> {
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+fn serial() -> MutexGuard<'static, ()> {
+    SERIAL.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 fn dir(name: &str) -> PathBuf {
@@ -49,7 +49,7 @@
     site
 }
 
-fn passed(site: &Site) -> Passed {
+fn traffic(site: &Site) -> Passed {
     let links = site.fronts.iter().flat_map(|f| &f.planners);
     links.map(|l| l.passed()).fold(Passed::default(), |a, b| Passed {
         messages: a.messages + b.messages,
@@ -58,57 +58,58 @@
     })
 }
 
-/// Waits until something is seen; a process that shows it later than this has failed.
-fn until(what: &str, seen: impl Fn() -> bool) {
-    let begun = Instant::now();
-    while !seen() {
-        assert!(begun.elapsed() < Duration::from_secs(20), "{what} was not seen");
+/// Waits until `condition` holds; panics after 20 s.
+fn wait_until(what: &str, condition: impl Fn() -> bool) {
+    let started = Instant::now();
+    while !condition() {
+        assert!(started.elapsed() < Duration::from_secs(20), "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Fronts' record at a planner: up to which wall time it holds spans of each.
-fn recorded(site: &Site, planner: usize) -> Vec<u64> {
+/// Returns, for each front, the wall time up to which a planner holds its spans.
+fn recorded_until(site: &Site, planner: usize) -> Vec<u64> {
     let (_, body) = ask(site.planners[planner].listen, "/fleet/audit", Duration::from_secs(5)).unwrap();
     let audit: serde_json::Value = serde_json::from_slice(&body).unwrap();
-    let rows = |one: &serde_json::Value| {
-        let all = one["rows"].as_array().cloned().unwrap_or_default();
-        all.iter().filter_map(|r| r["span"]["wall"].as_u64()).max().unwrap_or(0)
+    let latest = |incarnation: &serde_json::Value| {
+        let rows = incarnation["rows"].as_array().cloned().unwrap_or_default();
+        rows.iter().filter_map(|r| r["span"]["wall"].as_u64()).max().unwrap_or(0)
     };
     (0..site.fronts.len())
         .map(|f| {
             let name = format!("f{f}");
-            let of = audit["lives"].as_array().into_iter().flatten().filter(|i| i["front"] == name.as_str());
-            of.map(rows).max().unwrap_or(0)
+            let of_front =
+                audit["lives"].as_array().into_iter().flatten().filter(|i| i["front"] == name.as_str());
+            of_front.map(latest).max().unwrap_or(0)
         })
         .collect()
 }
 
-/// Messages and bytes for so many messages' worth of the plain renewal, counted over the same stretch.
-fn at_rest(form: &str) -> Passed {
+/// Returns the messages and bytes that pass in 6 s in a fleet where nothing changes.
+fn idle_traffic(form: &str) -> Passed {
     let dir = dir(if form.is_empty() { "plain" } else { "rest" });
     let site = site(&dir, form, 2);
-    // All planners have heard every front often enough to hear it at the pace.
-    until("a front known to every planner", || {
+    // Every planner has received enough heartbeats of every front that the front sends at its pace.
+    wait_until("a front known to every planner", || {
         site.fronts.iter().all(|f| f.planners.iter().all(|l| l.passed().messages > 12))
     });
-    let (from, begun) = (passed(&site), Instant::now());
+    let (from, started) = (traffic(&site), Instant::now());
     std::thread::sleep(Duration::from_secs(6));
-    let (to, took) = (passed(&site), begun.elapsed().as_millis() as u64);
+    let (to, took_ms) = (traffic(&site), started.elapsed().as_millis() as u64);
     drop(site);
     std::fs::remove_dir_all(dir).unwrap();
-    let each = |n: u64| n * 6_000 / took;
+    let per_6_s = |n: u64| n * 6_000 / took_ms;
     Passed {
-        messages: each(to.messages - from.messages),
-        bytes_to: each(to.bytes_to - from.bytes_to),
-        bytes_back: each(to.bytes_back - from.bytes_back),
+        messages: per_6_s(to.messages - from.messages),
+        bytes_to: per_6_s(to.bytes_to - from.bytes_to),
+        bytes_back: per_6_s(to.bytes_back - from.bytes_back),
     }
 }
 
 #[test]
-fn at_rest_fewer_messages_and_bytes_pass_between_fronts_and_planners() {
-    let _alone = alone();
-    let (plain, paced) = (at_rest(""), at_rest(PACED));
+fn with_pacing_an_idle_fleet_sends_fewer_messages_and_bytes() {
+    let _serial = serial();
+    let (plain, paced) = (idle_traffic(""), idle_traffic(PACED));
     assert!(2 * paced.messages < plain.messages, "{paced:?} against {plain:?}");
     assert!(
         2 * (paced.bytes_to + paced.bytes_back) < plain.bytes_to + plain.bytes_back,
@@ -118,41 +119,41 @@
 }
 
 #[test]
-fn a_drain_reaches_a_front_cut_from_discovery_and_a_dead_planner_takes_no_record_along() {
-    let _alone = alone();
+fn a_drain_reaches_a_front_without_discovery_and_no_record_is_lost_with_a_planner() {
+    let _serial = serial();
     let dir = dir("drain");
     let mut site = site(&dir, PACED, 4);
-    until("a front known to every planner", || {
+    wait_until("a front known to every planner", || {
         site.fronts.iter().all(|f| f.planners.iter().all(|l| l.passed().messages > 12))
     });
     let cut = Fault { cut_to: true, cut_back: true, ..Fault::default() };
     site.sources(0)[0].set(cut);
-    let changed = site.world.now();
+    let drained_at = site.world.now();
     site.world.list(0, "draining", 1);
-    until("the drain at the other fronts", || {
+    wait_until("the drain at the other fronts", || {
         let log = site.world.log();
         (1..4).all(|f| {
-            log.iter().any(|(t, s)| *t > changed && matches!(s, Seen::List { front, .. } if *front == f))
+            log.iter().any(|(t, s)| *t > drained_at && matches!(s, Seen::List { front, .. } if *front == f))
         })
     });
-    let told = site.world.now();
+    let drain_known_at = site.world.now();
     std::thread::sleep(Duration::from_millis(3_500));
-    let late = |site: &Site| {
+    let late_attempts = |site: &Site| {
         let log = site.world.log();
-        let sent = |(t, s): &(u64, Seen)| {
-            let hit = matches!(s, Seen::Attempt { front: 0, machine: 0, .. });
-            hit.then_some(*t).filter(|t| *t > told + RECONCILED_WITHIN)
+        let late_attempt = |(t, s): &(u64, Seen)| {
+            let is_at_drained = matches!(s, Seen::Attempt { front: 0, machine: 0, .. });
+            is_at_drained.then_some(*t).filter(|t| *t > drain_known_at + RECONCILIATION_LIMIT_US)
         };
-        log.iter().filter_map(sent).count()
+        log.iter().filter_map(late_attempt).count()
     };
-    assert_eq!(late(&site), 0, "attempts at the drained machine by the front that was cut off");
-    // A planner is killed and stays away; what every front does from now on is known to both others.
+    assert_eq!(late_attempts(&site), 0, "attempts at the drained machine by the front that was cut off");
+    // One planner is killed and does not return. Both others receive what every front does from now on.
     site.planners[0].process.kill();
     let after = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_micros()
         as u64
         + 2_000_000;
-    until("every front's record of later", || {
-        (1..3).all(|p| recorded(&site, p).iter().all(|wall| *wall > after))
+    wait_until("every front's record of later", || {
+        (1..3).all(|p| recorded_until(&site, p).iter().all(|wall| *wall > after))
     });
     assert!(site.ended().len() <= 1, "{:?}", site.ended());
     drop(site);
@@ -160,8 +161,8 @@
 }
 
 #[test]
-fn the_audit_holds_under_faults_and_a_delta_on_another_base_is_found() {
-    let _alone = alone();
+fn the_audit_agrees_under_faults_and_a_delta_on_the_wrong_base_is_detected() {
+    let _serial = serial();
     let dir = dir("audit");
     let trials = Trials {
         program: PROGRAM.into(),
@@ -176,11 +177,14 @@
     };
     let report = run(&trials, || ()).unwrap();
     assert!(report.held(), "{}", report.findings.told());
-    let f = &report.findings;
+    let findings = &report.findings;
     assert!(
-        f.stragglers >= 4 && f.reconciled >= 2 && f.quarantined >= 2 && f.attempts_seen > 1_000,
+        findings.stragglers >= 4
+            && findings.reconciled >= 2
+            && findings.quarantined >= 2
+            && findings.attempts_seen > 1_000,
         "{}",
-        f.told()
+        findings.told()
     );
     let found: Vec<_> = std::thread::scope(|scope| {
         let play = |mutant: &'static str| {
--- a/crates/yarrowspoke-front/tests/store.rs
+++ b/crates/yarrowspoke-front/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store under the started program: killed at any moment, nothing runs twice and no answer is contradicted.
+//! The store of the running program: killed at any moment, it runs no request twice and contradicts no answer.
 
 mod common;
 
@@ -10,28 +10,28 @@
 use std::time::Duration;
 use yarrowspoke_toy::Behaviour;
 
-static DIRS: AtomicUsize = AtomicUsize::new(0);
+static NEXT_DIRECTORY: AtomicUsize = AtomicUsize::new(0);
 
 fn directory() -> PathBuf {
-    let number = DIRS.fetch_add(1, Ordering::Relaxed);
+    let number = NEXT_DIRECTORY.fetch_add(1, Ordering::Relaxed);
     let dir = std::env::temp_dir().join(format!("yarrowspoke-store-{}-{number}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
     std::fs::create_dir_all(&dir).unwrap();
     dir
 }
 
-fn section(dir: &std::path::Path, more: &str) -> String {
-    format!("(store (directory \"{}\") {more})", dir.display())
+fn section(dir: &std::path::Path, fields: &str) -> String {
+    format!("(store (directory \"{}\") {fields})", dir.display())
 }
 
 fn comment(id: &str) -> String {
     format!("POST /comment HTTP/1.1\r\nHost: h\r\nX-Call-Id: {id}\r\nX-Caller: acme\r\nX-Budget: 4.0\r\nContent-Length: 2\r\n\r\nhi")
 }
 
-/// Runs of each comment at the machines.
-fn runs(world: &TestEnvironment) -> BTreeMap<String, usize> {
+/// Returns how often the machines ran each comment.
+fn runs(environment: &TestEnvironment) -> BTreeMap<String, usize> {
     let mut out = BTreeMap::new();
-    for message in world.machines.iter().flat_map(|m| m.seen()) {
+    for message in environment.machines.iter().flat_map(|m| m.seen()) {
         if message.start().starts_with("POST") {
             *out.entry(message.field("x-call-id").unwrap_or("").to_owned()).or_default() += 1;
         }
@@ -39,104 +39,107 @@
     out
 }
 
-/// Kills a front so many times under load, and lets every client ask again for what it did not hear, and for some that it
-/// did. Comments that ran twice, answers that were contradicted, and comments in all.
-fn kill_again_and_again(kills: usize, operator: Option<&str>) -> (usize, usize, usize) {
+/// Kills a front `kills` times under load. After each restart the clients send again the requests that had no answer, and
+/// some of those that had one. Returns how many comments ran twice, how many answers were contradicted, and the number of
+/// comments.
+fn kill_repeatedly(kills: usize, operator: Option<&str>) -> (usize, usize, usize) {
     let behaviours = [Behaviour::ServeLate(3), Behaviour::Serve, Behaviour::ServeLate(1), Behaviour::Break];
-    let mut world = match operator {
+    let mut environment = match operator {
         Some(text) => TestEnvironment::with_rules(&behaviours, text),
         None => TestEnvironment::start(&behaviours),
     };
-    let heard: Arc<Mutex<BTreeMap<String, Vec<String>>>> = Arc::default();
+    let answers: Arc<Mutex<BTreeMap<String, Vec<String>>>> = Arc::default();
     for round in 0..kills {
-        let over = Arc::new(AtomicBool::new(false));
-        let listen = world.listen;
+        let stop = Arc::new(AtomicBool::new(false));
+        let listen = environment.listen;
         let clients: Vec<_> = (0..4)
             .map(|client| {
-                let (over, heard) = (Arc::clone(&over), Arc::clone(&heard));
+                let (stop, answers) = (Arc::clone(&stop), Arc::clone(&answers));
                 std::thread::spawn(move || {
                     for n in 0..2_000 {
-                        if over.load(Ordering::Relaxed) {
+                        if stop.load(Ordering::Relaxed) {
                             return;
                         }
                         let id = format!("c{round}-{client}-{n}");
-                        heard.lock().unwrap().entry(id.clone()).or_default();
-                        let Some(mut line) = common::connect(listen) else { return };
-                        let Some(answer) = line.request(&comment(&id)) else { return };
-                        heard.lock().unwrap().entry(id).or_default().push(answer.start().to_owned());
+                        answers.lock().unwrap().entry(id.clone()).or_default();
+                        let Some(mut connection) = common::connect(listen) else { return };
+                        let Some(answer) = connection.request(&comment(&id)) else { return };
+                        answers.lock().unwrap().entry(id).or_default().push(answer.start().to_owned());
                     }
                 })
             })
             .collect();
-        // A moment drawn from the round; what it meets differs from run to run, the verdict does not.
+        // The time of the kill depends on the round. Which requests it interrupts differs between runs; the expected result does
+        // not.
         std::thread::sleep(Duration::from_millis(10 + (round as u64 * 37) % 60));
-        world.kill();
-        over.store(true, Ordering::Relaxed);
+        environment.kill();
+        stop.store(true, Ordering::Relaxed);
         clients.into_iter().for_each(|c| c.join().unwrap());
-        world.restart();
-        let ask: Vec<(String, usize)> =
-            heard.lock().unwrap().iter().map(|h| (h.0.clone(), h.1.len())).collect();
+        environment.restart();
+        let answer_counts: Vec<(String, usize)> =
+            answers.lock().unwrap().iter().map(|a| (a.0.clone(), a.1.len())).collect();
         let prefix = format!("c{round}-");
-        for (n, (id, answers)) in ask.into_iter().filter(|a| a.0.starts_with(&prefix)).enumerate() {
-            if answers == 0 || n % 7 == 0 {
-                let answer = world.client().request(&comment(&id)).unwrap();
-                heard.lock().unwrap().entry(id).or_default().push(answer.start().to_owned());
+        for (n, (id, answered)) in answer_counts.into_iter().filter(|a| a.0.starts_with(&prefix)).enumerate()
+        {
+            if answered == 0 || n % 7 == 0 {
+                let answer = environment.client().request(&comment(&id)).unwrap();
+                answers.lock().unwrap().entry(id).or_default().push(answer.start().to_owned());
             }
         }
     }
-    let runs = runs(&world);
+    let runs = runs(&environment);
     let doubled = runs.values().filter(|n| **n > 1).count();
-    let heard = heard.lock().unwrap();
-    let sort = |a: &String| if a.contains(" 200 ") { 0 } else { 1 };
-    let contradicted = heard.values().filter(|a| a.iter().any(|x| sort(x) != sort(&a[0]))).count();
-    (doubled, contradicted, heard.len())
+    let answers = answers.lock().unwrap();
+    let kind = |a: &String| if a.contains(" 200 ") { 0 } else { 1 };
+    let contradicted = answers.values().filter(|a| a.iter().any(|x| kind(x) != kind(&a[0]))).count();
+    (doubled, contradicted, answers.len())
 }
 
 #[test]
-fn killed_again_and_again_no_comment_runs_twice_and_no_answer_is_contradicted() {
+fn after_repeated_kills_no_comment_has_run_twice_and_no_answer_is_contradicted() {
     let dir = directory();
     let kills = std::env::var("YARROWSPOKE_KILLS").ok().and_then(|n| n.parse().ok()).unwrap_or(12);
-    let (doubled, contradicted, all) = kill_again_and_again(kills, Some(&section(&dir, "(delay 0)")));
+    let (doubled, contradicted, all) = kill_repeatedly(kills, Some(&section(&dir, "(delay 0)")));
     assert_eq!((doubled, contradicted), (0, 0), "of {all} comments");
     assert!(all >= kills, "{all} comments in {kills} rounds");
     eprintln!("with the store: {doubled} of {all} comments twice after {kills} kills");
     let out = run_program(&["store", "verify", dir.to_str().unwrap()]);
     assert!(out.status.success(), "{out:?}");
     if std::env::var("YARROWSPOKE_KILLS").is_ok() {
-        let (doubled, contradicted, all) = kill_again_and_again(kills, None);
+        let (doubled, contradicted, all) = kill_repeatedly(kills, None);
         eprintln!("without it: {doubled} of {all} twice, {contradicted} contradicted");
     }
     std::fs::remove_dir_all(dir).unwrap();
 }
 
 #[test]
-fn an_answer_is_given_again_and_articles_never_wait_for_the_disk() {
+fn a_stored_answer_is_repeated_and_articles_never_wait_for_the_disk() {
     let dir = directory();
-    let world = TestEnvironment::with_rules(&[Behaviour::Serve], &section(&dir, ""));
-    let mut client = world.client();
+    let environment = TestEnvironment::with_rules(&[Behaviour::Serve], &section(&dir, ""));
+    let mut client = environment.client();
     let first = client.request(&comment("one")).unwrap();
     assert!(first.start().contains(" 200 "), "{first:?}");
     for _ in 0..3 {
         let again = client.request(&comment("one")).unwrap();
         assert_eq!((again.start(), &again.body), (first.start(), &first.body));
     }
-    assert_eq!(world.seen(), 1);
+    assert_eq!(environment.seen(), 1);
     assert!(client.request(&common::get("a1", "1.0")).unwrap().start().contains(" 200 "));
-    // A large answer is not kept: it is done, and no refusal, which would be leave to try again.
+    // An answer over the size limit is not stored. A retry then gets 409: a refusal would permit another retry.
     let other = directory();
-    let world = TestEnvironment::with_rules(&[Behaviour::Serve], &section(&other, "(answers 0)"));
-    let mut client = world.client();
+    let environment = TestEnvironment::with_rules(&[Behaviour::Serve], &section(&other, "(answers 0)"));
+    let mut client = environment.client();
     assert!(client.request(&comment("two")).unwrap().start().contains(" 200 "));
     assert!(client.request(&comment("two")).unwrap().start().contains(" 409 "));
-    assert_eq!(world.seen(), 1);
+    assert_eq!(environment.seen(), 1);
 }
 
 #[test]
-fn at_the_bound_new_comments_are_refused_with_a_time_and_articles_served() {
+fn a_full_store_refuses_new_comments_with_retry_after_and_serves_articles() {
     let dir = directory();
-    let world =
+    let environment =
         TestEnvironment::with_rules(&[Behaviour::Serve], &section(&dir, "(bytes 100000) (answers 65536)"));
-    let mut client = world.client();
+    let mut client = environment.client();
     let mut refused = None;
     for n in 0..3_000 {
         let answer = client.request(&comment(&format!("n{n}"))).unwrap();
@@ -145,23 +148,23 @@
             break;
         }
     }
-    let refused = refused.expect("the bound is met");
+    let refused = refused.expect("the store becomes full");
     assert!(refused.field("retry-after").is_some(), "{refused:?}");
     assert!(client.request(&common::get("b1", "1.0")).unwrap().start().contains(" 200 "));
-    // What was done stays done: room is not made by forgetting it.
-    let before = world.seen();
+    // Finished requests stay recorded: a full store does not forget them to gain space.
+    let before = environment.seen();
     assert!(client.request(&comment("n0")).unwrap().start().contains(" 200 "));
-    assert_eq!(world.seen(), before);
+    assert_eq!(environment.seen(), before);
 }
 
 #[test]
-fn a_directory_is_one_fronts_and_a_bad_one_starts_nothing() {
+fn a_directory_belongs_to_one_front_and_nothing_starts_on_a_damaged_one() {
     let dir = directory();
-    let world = TestEnvironment::with_rules(&[Behaviour::Serve], &section(&dir, ""));
+    let environment = TestEnvironment::with_rules(&[Behaviour::Serve], &section(&dir, ""));
     let out = run_program(&["store", "verify", dir.to_str().unwrap()]);
-    let told = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(!out.status.success() && told.contains("lock is held"), "{told}");
-    drop(world);
+    let error = String::from_utf8_lossy(&out.stderr).into_owned();
+    assert!(!out.status.success() && error.contains("lock is held"), "{error}");
+    drop(environment);
     let out = run_program(&["store", "inspect", dir.to_str().unwrap()]);
     assert!(out.status.success(), "{out:?}");
     for (file_name, damage) in [("ledger", 200usize), ("mark", 8)] {
@@ -174,38 +177,39 @@
             &["store", "verify", dir.to_str().unwrap()],
         ] {
             let out = run_program(args);
-            let told = String::from_utf8_lossy(&out.stderr).into_owned();
-            assert!(!out.status.success() && told.contains("store: "), "{file_name} {args:?}: {told}");
+            let error = String::from_utf8_lossy(&out.stderr).into_owned();
+            assert!(!out.status.success() && error.contains("store: "), "{file_name} {args:?}: {error}");
         }
         assert_eq!(std::fs::read(&path).unwrap().len(), damage, "a refused store is not written to");
         std::fs::write(&path, whole).unwrap();
     }
     let missing = temp_file("missing", &section(&dir.join("nowhere"), ""));
     let out = run_program(&["serve", "--operator", missing.to_str().unwrap()]);
-    let told = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(!out.status.success() && told.contains("no such directory"), "{told}");
+    let error = String::from_utf8_lossy(&out.stderr).into_owned();
+    assert!(!out.status.success() && error.contains("no such directory"), "{error}");
     let out = run_program(&["store", "compact", dir.to_str().unwrap()]);
     assert!(out.status.success(), "{out:?}");
 }
 
 #[test]
-fn a_front_starts_from_the_list_that_it_kept() {
+fn a_front_starts_from_its_stored_list() {
     let dir = directory();
-    let mut world = TestEnvironment::with_rules(&[Behaviour::Serve, Behaviour::Serve], &section(&dir, ""));
-    let mut client = world.client();
+    let mut environment =
+        TestEnvironment::with_rules(&[Behaviour::Serve, Behaviour::Serve], &section(&dir, ""));
+    let mut client = environment.client();
     assert!(client.request(&common::get("a", "1.0")).unwrap().start().contains(" 200 "));
-    // The opening is commit 1, and nothing else is written here but what the front knows.
+    // Opening the store is commit 1; after that only the snapshot of the front's state is written here.
     common::wait_until("the list is written down", || {
         let mark = std::fs::read(dir.join("mark")).unwrap_or_default();
         let commit =
             |at: usize| mark.get(at..at + 8).map_or(0, |b| u64::from_le_bytes(b.try_into().unwrap()));
         commit(32).max(commit(512 + 32)) >= 2
     });
-    world.kill();
+    environment.kill();
     let out = run_program(&["store", "inspect", dir.to_str().unwrap()]);
     assert!(String::from_utf8_lossy(&out.stdout).contains("a list of 2 machines"), "{out:?}");
-    // It comes back with no list in its configuration.
-    world.forget_list();
-    world.restart();
-    assert!(world.client().request(&common::get("b", "1.0")).unwrap().start().contains(" 200 "));
+    // The front restarts without a list in its configuration.
+    environment.forget_list();
+    environment.restart();
+    assert!(environment.client().request(&common::get("b", "1.0")).unwrap().start().contains(" 200 "));
 }
