--- a/crates/yarrowspoke-front/src/fleet_member.rs
+++ b/crates/yarrowspoke-front/src/fleet_member.rs
@@ -59,18 +59,18 @@
 }
 
 /// Returns a digest of the running program. The file is read once, even if one process runs many members.
-fn program_digest() -> u64 {
+fn program() -> u64 {
     static DIGEST: OnceLock<u64> = OnceLock::new();
     *DIGEST.get_or_init(|| std::env::current_exe().and_then(std::fs::read).map_or(0, |b| digest(&b)))
 }
 
-fn phase_code(phase: Phase) -> u8 {
+fn phase(phase: Phase) -> u8 {
     PHASES.iter().position(|p| *p == phase).unwrap_or(0) as u8
 }
 
 fn fleet_status(status: &RolloutStatus) -> version::RolloutStatus {
     let cap = (status.cap.clamp(0.0, 1.0) * 1e6).round() as u32;
-    version::RolloutStatus { build: status.build, stage: status.stage, phase: phase_code(status.phase), cap }
+    version::RolloutStatus { build: status.build, stage: status.stage, phase: phase(status.phase), cap }
 }
 
 /// A front's membership in a fleet.
@@ -102,7 +102,7 @@
     ) -> Rc<Self> {
         let (config, operator, settings) = digests;
         let list = version::List { index: 0, source: ListSource::Cached, epoch: 0, digest: 0 };
-        let version = Version { list, rollout: None, config, operator, settings, program: program_digest() };
+        let version = Version { list, rollout: None, config, operator, settings, program: program() };
         let incarnation = SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |d| d.as_micros() as u64);
         let retry_after = fleet.back_after.max(fleet.renew).min(max_retry_after);
         Rc::new(Self {
