--- a/crates/yarrowspoke/src/membership/lease.rs
+++ b/crates/yarrowspoke/src/membership/lease.rs
@@ -227,7 +227,7 @@
     fn record_newer(&mut self, newer: NewerList) {
         // In an outage the newest list may have no lease left while an older one still has, so versions are compared
         // first.
-        let is_newer = |held: &NewerList| (held.version, held.until) <= (newer.version, newer.until);
+        let is_newer = |known: &NewerList| (known.version, known.until) <= (newer.version, newer.until);
         if self.newer.as_ref().is_none_or(is_newer) {
             self.newer = Some(newer);
         }
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Ends the leases that were valid only because discovery seemed to be down.
+    /// Records that discovery is up: the leases end that were valid only because it seemed to be down.
     pub fn end_outage(&mut self, now: Micros) {
         if matches!(self.list.source, LeaseSource::Outage | LeaseSource::Cache) {
             self.end_list_by(now);
@@ -264,8 +264,8 @@
     }
 
     fn extend(&mut self, machine: MachineId, basis: LeaseBasis) {
-        let held = self.machines.get(&machine).map_or(0, |held| self.end(*held));
-        if held < self.end(basis) {
+        let current_end = self.machines.get(&machine).map_or(0, |lease| self.end(*lease));
+        if current_end < self.end(basis) {
             self.machines.insert(machine, basis);
         }
     }
@@ -273,7 +273,7 @@
     /// Returns the lease on this machine, if one is valid: that on the whole list first, then that on the machine
     /// alone.
     pub fn lease_basis(&self, now: Micros, machine: MachineId) -> Option<LeaseBasis> {
-        let single = || self.machines.get(&machine).and_then(|held| self.valid(now, *held));
+        let single = || self.machines.get(&machine).and_then(|lease| self.valid(now, *lease));
         self.valid(now, self.list).or_else(single)
     }
 
--- a/crates/yarrowspoke/src/membership/mod.rs
+++ b/crates/yarrowspoke/src/membership/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Every list has a source and a time. A list that discovery confirmed may be used for a bounded time, its lease
 //! ([`lease`]). When discovery does not renew the lease, the front calls it again on a schedule that bounds the load
-//! of the whole fleet on discovery ([`schedule`]), and queries other fronts for what they know ([`peers`]) of the
+//! of the whole fleet on it ([`schedule`]), and queries other fronts for what they know ([`peers`]) of the
 //! same discovery ([`origin`]). While no front can reach discovery, the last known list stays in use ([`outage`]). A
 //! machine without a valid lease is sent nothing.
 //!
@@ -183,8 +183,8 @@
             }
             ListUpdate::Failed => {
                 self.leases.lose_subscription(now, self.schedule.is_subscribed());
-                if let Some(called) = self.schedule.call_started_at() {
-                    self.outage.record_nothing_missed(called);
+                if let Some(call_began_at) = self.schedule.call_started_at() {
+                    self.outage.record_nothing_missed(call_began_at);
                 }
                 self.on_failure(now, false);
             }
@@ -217,9 +217,9 @@
         }
     }
 
-    fn on_failure(&mut self, now: Micros, is_up: bool) {
+    fn on_failure(&mut self, now: Micros, discovery_is_up: bool) {
         self.counts.discovery_failures += 1;
-        self.schedule.on_failure(now, is_up, &mut self.random);
+        self.schedule.on_failure(now, discovery_is_up, &mut self.random);
         if let Some(peers) = &mut self.peers {
             peers.forget_subscriptions();
         }
--- a/crates/yarrowspoke/src/membership/schedule.rs
+++ b/crates/yarrowspoke/src/membership/schedule.rs
@@ -16,7 +16,7 @@
 use crate::interface::{Micros, Settings};
 use rand_core::RngCore;
 
-/// Minimum backoff after a failure; as much again is added at random.
+/// Minimum backoff after a failure; up to as much again is added at random.
 const MIN_BACKOFF: Micros = 1_000_000;
 /// A call without any answer for this long has failed.
 const CALL_TIMEOUT: Micros = 4_000_000;
@@ -146,8 +146,8 @@
     /// Records that discovery answered, so the subscription is open.
     pub fn on_answer(&mut self, now: Micros) {
         self.next_call = None;
-        if let Some(called) = self.call_began_at.take() {
-            self.last_opening = Some((now, now - called));
+        if let Some(call_began_at) = self.call_began_at.take() {
+            self.last_opening = Some((now, now - call_began_at));
         }
         self.failures = 0;
         self.overload_failures = 0;
@@ -224,23 +224,24 @@
         self.call_began_at
     }
 
-    /// Records that a call failed or the subscription ended; `is_up` states that discovery has shown that it is up.
-    pub fn on_failure(&mut self, now: Micros, is_up: bool, random: &mut impl RngCore) {
+    /// Records that a call failed or the subscription ended; `discovery_is_up` states that discovery has proved to be
+    /// up.
+    pub fn on_failure(&mut self, now: Micros, discovery_is_up: bool, random: &mut impl RngCore) {
         self.subscription_lost |= self.is_subscribed();
-        let called = self.call_began_at.take();
-        let was_rejected = called.is_some_and(|at| now < at + REJECTED_WITHIN);
+        let call_began_at = self.call_began_at.take();
+        let was_rejected = call_began_at.is_some_and(|at| now < at + REJECTED_WITHIN);
         let is_unclear = !self.queries_peers && self.failures >= OVERLOAD_AFTER_FAILURES;
-        let is_overload = called.is_some() && (was_rejected || is_up || is_unclear);
+        let is_overload = call_began_at.is_some() && (was_rejected || discovery_is_up || is_unclear);
         self.overload_failures += u32::from(is_overload);
-        self.unexplained_call_at = called.filter(|_| !is_overload);
-        let next = match (self.failures, called) {
+        self.unexplained_call_at = call_began_at.filter(|_| !is_overload);
+        let next = match (self.failures, call_began_at) {
             // The subscription ended, in most cases for all fronts at once.
             (_, None) => now + self.slot_offset() as Micros,
             (0, Some(_)) => {
                 now + (self.slot_offset() + self.others_share() * QUEUE_DRAIN_TIME as f64) as Micros
             }
             // Each front keeps its slot, so calls that are spread out stay so.
-            (_, Some(called)) => self.next_slot(called).max(now),
+            (_, Some(call_began_at)) => self.next_slot(call_began_at).max(now),
         };
         let backoff =
             MIN_BACKOFF + random_below(if self.others_share() > 0.0 { JITTER } else { MIN_BACKOFF }, random);
@@ -250,13 +251,13 @@
         self.redraw_fraction(random);
     }
 
-    /// Returns this front's next slot after a call that began at `called`.
-    fn next_slot(&self, called: Micros) -> Micros {
+    /// Returns this front's next slot after a call that began at `call_began_at`.
+    fn next_slot(&self, call_began_at: Micros) -> Micros {
         // A single such failure may fall in the last moment of an outage, so it does not double the wait.
         let doublings = self.overload_failures.saturating_sub(1).min(MAX_DOUBLINGS);
         let period = self.others_share() * self.spread as f64;
         let longest = (self.fronts * MAX_CALL_SPACING as f64).max(period);
-        called + (f64::from(1 << doublings) * period).min(longest) as Micros
+        call_began_at + (f64::from(1 << doublings) * period).min(longest) as Micros
     }
 
     /// Returns whether other fronts should be queried to tell whether an overload or an outage explains a failed
@@ -269,12 +270,15 @@
     /// discovery is overloaded, unless it answers others so quickly that it would have time for all: then only this
     /// front's call was lost.
     pub fn on_peer_confirmation(&mut self, at: Micros, call_cost: Option<Micros>) {
-        let Some(called) = self.unexplained_call_at.take_if(|called| *called < at) else { return };
+        let Some(call_began_at) = self.unexplained_call_at.take_if(|call_began_at| *call_began_at < at)
+        else {
+            return;
+        };
         if self.time_for_all(call_cost).is_some() {
             return;
         }
         self.overload_failures += 1;
-        let slot_time = self.next_slot(called);
+        let slot_time = self.next_slot(call_began_at);
         self.next_call = self.next_call.map(|next| next.max(slot_time));
     }
 }
