--- a/crates/yarrowspoke/src/membership/schedule.rs
+++ b/crates/yarrowspoke/src/membership/schedule.rs
@@ -270,10 +270,7 @@
     /// discovery is overloaded, unless it answers others so quickly that it would have time for all: then only this
     /// front's call was lost.
     pub fn on_peer_confirmation(&mut self, at: Micros, call_cost: Option<Micros>) {
-        let Some(call_began_at) = self.unexplained_call_at.take_if(|call_began_at| *call_began_at < at)
-        else {
-            return;
-        };
+        let Some(call_began_at) = self.unexplained_call_at.take_if(|called| *called < at) else { return };
         if self.time_for_all(call_cost).is_some() {
             return;
         }
