--- a/crates/yarrowspoke/src/rules.rs
+++ b/crates/yarrowspoke/src/rules.rs
@@ -60,7 +60,7 @@
 const PACE_WEIGHT: f64 = 0.1;
 /// Greatest factor by which a machine's pace is taken to exceed that of its kind.
 const MAX_RELATIVE_PACE: f64 = 3.0;
-/// Attempts in flight per unit of capacity by which one choice must exceed the other to be passed over.
+/// Attempts in flight per unit of capacity by which one choice must exceed the other before it is passed over.
 const LOAD_MARGIN: f64 = 1.0;
 /// Share of attempts without a connection above which machines that answered recently are preferred.
 const CONNECT_FAILURE_SHARE: f64 = 0.1;
@@ -70,7 +70,7 @@
 const EJECTION_FAILURE_SHARE: f64 = 0.3;
 /// Factor by which that share must also exceed the median machine of the build.
 const EJECTION_FAILURE_RATIO: f64 = 3.0;
-/// Share of a build's machines that are not ejected, and of a stage's machines that an up-to-date list shows.
+/// Least share of a build's machines that stays in service, and of a stage's machines that an up-to-date list shows.
 const MIN_MACHINE_SHARE: f64 = 0.5;
 /// Length of a first ejection in microseconds; it doubles up to three times.
 const EJECTION_TIME: Micros = 1_500 * MS;
@@ -90,7 +90,7 @@
 const COLD_DRAW_REQUESTS: f64 = 5.0;
 /// Least weight of the newest answer in the average answer time.
 const ANSWER_TIME_WEIGHT: f64 = 0.05;
-/// Time in microseconds that the average answer time covers where answers are rare, by a greater weight of each.
+/// Time in microseconds that the average answer time covers where answers are rare: each then has a greater weight.
 const ANSWER_TIME_WINDOW: Micros = 3_000 * MS;
 /// Window in microseconds over which completions are counted.
 const RATE_WINDOW: Micros = 1_000 * MS;
@@ -333,7 +333,7 @@
         let machine_and_front = u64::from(machine.entry.machine) | u64::from(self.settings.front_id) << 32;
         let draw = hash_to_unit(machine_and_front ^ (now / window) << 48);
         let fronts = f64::from(self.settings.fronts.max(1));
-        // Without this limit, a few large requests would use up all that the draws of all fronts leave together.
+        // Without this limit, a few large requests would use up all the work that the draws of all fronts together allow.
         let fits = budget <= 0.0 || request.work * COLD_DRAW_REQUESTS <= budget * fronts;
         sent + request.work <= budget
             || sent == 0.0 && fits && draw < (COLD_DRAW_SHARE * budget / request.work).max(1.0 / fronts)
--- a/crates/yarrowspoke/tests/scale.rs
+++ b/crates/yarrowspoke/tests/scale.rs
@@ -45,8 +45,8 @@
             cold += u32::from(rig.run_request(0, healthy) == Some(99));
         }
     }
-    // Each front sends about 70 requests in that second, and a warm machine gets about 3 from each front, 350 in all. At 30 %
-    // of its capacity, times three, a cold machine can bear 315; the guard allows half.
+    // Each front sends about 70 requests in that second, and a warm machine gets about 3 from each front, 350 in all. At
+    // 30 % of that, times three, a cold machine can bear 315; the guard allows half.
     assert!((1..=160).contains(&cold), "{cold} requests");
 }
 
@@ -254,8 +254,8 @@
 
 #[test]
 fn what_each_of_many_fronts_has_in_flight_by_chance_is_no_queue() {
-    // Two or three requests at once, at a front with nine a second, are chance and not a queue. Refused clients retry, so that
-    // refusals sustain themselves long after the trouble that began them.
+    // Two or three requests at once, at a front with nine a second, are chance and not a queue. Refused clients retry, so
+    // that refusals sustain themselves long after the trouble that began them.
     let normal = refused_by_chance(270 * MS);
     assert!(normal < 0.1, "{normal} refused while answers take half of the latency target");
     let overloaded = refused_by_chance(500 * MS);
--- a/crates/yarrowspoke/tests/thin.rs
+++ b/crates/yarrowspoke/tests/thin.rs
@@ -1,5 +1,5 @@
-//! Fronts with little traffic: one of hundreds, without load reports in responses. Comments name the failure that a test
-//! guards against.
+//! Fronts with little traffic: one of hundreds, without work hints and without load reports in responses. Comments name the
+//! failure that a test guards against.
 
 mod common;
 use common::*;
