--- a/crates/yarrowspoke-front/src/classify.rs
+++ b/crates/yarrowspoke-front/src/classify.rs
@@ -66,8 +66,8 @@
             return;
         };
         let mut buckets = self.buckets.borrow_mut();
-        if self.max_buckets.replace(rules.buckets) != rules.buckets {
-            *buckets = Buckets::new(rules.buckets);
+        if self.max_buckets.replace(rules.max_limit_keys) != rules.max_limit_keys {
+            *buckets = Buckets::new(rules.max_limit_keys);
         }
         buckets.keep_rules(|id| rules.set.has_limit(id));
         let (set, (patterns, automata)) = (&rules.set, rules.set.regexes());
--- a/crates/yarrowspoke-front/src/cli.rs
+++ b/crates/yarrowspoke-front/src/cli.rs
@@ -303,7 +303,7 @@
                     let _ = writeln!(text, "warning: {path}:{line}:{column}: {warning}");
                 }
             }
-            let rows = if operator.verdicts.is_some() { detection_rows(&operator, fleet) } else { vec![] };
+            let rows = if operator.error_rates.is_some() { detection_rows(&operator, fleet) } else { vec![] };
             for row in rows.iter().filter(|r| r.is_in_scope && !r.detected_in_time()) {
                 let _ = writeln!(
                     text,
@@ -331,7 +331,7 @@
         set.bytes(),
         set.bounds().bytes,
         set.unfound(),
-        rules.buckets,
+        rules.max_limit_keys,
     );
     for (line, column, warning) in rules.warnings() {
         let _ = writeln!(text, "warning: {path}:{line}:{column}: {warning}");
@@ -344,7 +344,7 @@
         Err(e) => return CommandOutput { text: format!("{e}\n"), success: false },
         Ok(operator) => operator,
     };
-    let rates = operator.verdicts.unwrap_or(DEFAULT_ERROR_RATES);
+    let rates = operator.error_rates.unwrap_or(DEFAULT_ERROR_RATES);
     let mut text = format!(
         "{} fronts, {} votes, {} requests a second, {} machines; false rollbacks {}, missed faults {}\n\
          expected time or number of machines for a fault that begins with the build; half of the builds take longer\n\n",
@@ -390,7 +390,7 @@
 const STAGE_SHARES: [f64; 2] = [0.08, 0.6];
 
 fn detection_rows(operator: &Operator, fleet: &FleetSize) -> Vec<DetectionRow> {
-    let rates: ErrorRates = operator.verdicts.unwrap_or(DEFAULT_ERROR_RATES);
+    let rates: ErrorRates = operator.error_rates.unwrap_or(DEFAULT_ERROR_RATES);
     let settings = module_settings(rates, fleet);
     let (design, alarms) = judge_design(&settings);
     let spent = -(design.weights[3] * (1.0 - design.onsets.weights.0 - design.onsets.weights.1)).ln()
--- a/crates/yarrowspoke-front/src/ledger_writer.rs
+++ b/crates/yarrowspoke-front/src/ledger_writer.rs
@@ -15,10 +15,10 @@
 };
 use yarrowspoke_operator::store::StoreSettings;
 use yarrowspoke_settings::{Names, Settings};
-use yarrowspoke_store::ledger::{Outcome, Ruling, State};
-use yarrowspoke_store::snapshot::{self, Known, Line};
-use yarrowspoke_store::store::{served, Done, Op};
-use yarrowspoke_store::writer::Hand;
+use yarrowspoke_store::ledger::{Decision, Outcome, State};
+use yarrowspoke_store::snapshot::{self, MachineRecord, Snapshot};
+use yarrowspoke_store::store::{served_state, Op, OpResult};
+use yarrowspoke_store::writer::WriterHandle;
 
 /// Minimum time between two snapshots.
 const SNAPSHOT_INTERVAL_US: Micros = 2_000_000;
@@ -46,7 +46,7 @@
 }
 
 struct OpenLedger {
-    writer: Hand,
+    writer: WriterHandle,
     settings: StoreSettings,
     classes: Vec<ClassRecordPolicy>,
     class_names: Vec<String>,
@@ -60,7 +60,7 @@
     repeated: Cell<u64>,
     snapshot_at: Cell<Micros>,
     rows: RefCell<BTreeMap<MachineId, Row>>,
-    status: RefCell<Option<snapshot::News>>,
+    status: RefCell<Option<snapshot::RolloutStatus>>,
     /// Whether discovery has sent a list since the start.
     has_fresh_list: Cell<bool>,
     changed: Cell<bool>,
@@ -68,13 +68,13 @@
 
 impl LedgerWriter {
     /// Creates a writer for an open store.
-    pub fn new(writer: Hand, settings: StoreSettings, front_settings: &Settings) -> Self {
+    pub fn new(writer: WriterHandle, settings: StoreSettings, front_settings: &Settings) -> Self {
         let class = |c: &yarrowspoke::interface::Class| {
             // Machines forget an idempotency key after their deduplication window; the ledger must not forget it earlier.
             let retention = if c.idempotency == Idempotency::Keyed {
-                c.dedup_window.max(settings.keep)
+                c.dedup_window.max(settings.retention)
             } else {
-                settings.keep
+                settings.retention
             };
             ClassRecordPolicy { idempotency: c.idempotency, retention }
         };
@@ -107,16 +107,18 @@
     pub async fn record_intent(&self, call: &Call) -> LedgerDecision {
         let Some(ledger) = &self.ledger else { return LedgerDecision::InProgress };
         let (id, keep) = ledger.record_key(call);
-        let done = match ledger.writer.give(Op::Begin { id, keep }) {
-            Ok(pending) => with_timeout(Duration::from_micros(ledger.settings.stuck), pending.done()).await,
+        let done = match ledger.writer.submit(Op::Begin { id, retention: keep }) {
+            Ok(pending) => {
+                with_timeout(Duration::from_micros(ledger.settings.disk_timeout), pending.done()).await
+            }
             Err(e) => Some(Err(e)),
         };
         match done {
-            Some(Ok(Done::Ruled(ruling))) => self.decide(id, ruling),
+            Some(Ok(OpResult::Decided(ruling))) => self.decide(id, ruling),
             Some(_) => self.refuse(RETRY_AFTER_US),
             None => {
                 // The intent may still become durable later; the second record says that the request has not run.
-                let _ = ledger.writer.give(Op::End { id, state: State::NotRun, keep });
+                let _ = ledger.writer.submit(Op::End { id, state: State::NotRun, retention: keep });
                 self.refuse(RETRY_AFTER_US)
             }
         }
@@ -127,17 +129,17 @@
         LedgerDecision::Answered(Answer::Refused(retry_after))
     }
 
-    fn decide(&self, id: u128, ruling: Ruling) -> LedgerDecision {
-        if !matches!(ruling, Ruling::Admit | Ruling::Full(_)) {
+    fn decide(&self, id: u128, ruling: Decision) -> LedgerDecision {
+        if !matches!(ruling, Decision::Admit | Decision::NoSpace(_)) {
             self.repeated.set(self.repeated.get() + 1);
         }
         match ruling {
-            Ruling::Admit => LedgerDecision::Admitted(id),
-            Ruling::Again(body) => LedgerDecision::Answered(Answer::Served(body)),
-            Ruling::AlreadyDone => LedgerDecision::AlreadyDone,
-            Ruling::FailedBefore | Ruling::InDoubt => LedgerDecision::Answered(Answer::Failed),
-            Ruling::Open => LedgerDecision::InProgress,
-            Ruling::Full(retry_after) => self.refuse(retry_after),
+            Decision::Admit => LedgerDecision::Admitted(id),
+            Decision::Replay(body) => LedgerDecision::Answered(Answer::Served(body)),
+            Decision::AlreadyDone => LedgerDecision::AlreadyDone,
+            Decision::FailedBefore | Decision::InDoubt => LedgerDecision::Answered(Answer::Failed),
+            Decision::InProgress => LedgerDecision::InProgress,
+            Decision::NoSpace(retry_after) => self.refuse(retry_after),
         }
     }
 
@@ -148,13 +150,13 @@
         let Some(ledger) = &self.ledger else { return };
         let (_, keep) = ledger.record_key(call);
         let state = match answer {
-            Some(Answer::Served(body)) => served(body, ledger.settings.answers),
+            Some(Answer::Served(body)) => served_state(body, ledger.settings.max_answer_bytes),
             Some(Answer::Refused(_)) => State::NotRun,
             Some(Answer::Failed) | None => State::Done(Outcome::Failed),
         };
-        let Ok(pending) = ledger.writer.give(Op::End { id, state, keep }) else { return };
+        let Ok(pending) = ledger.writer.submit(Op::End { id, state, retention: keep }) else { return };
         if answer.is_some() {
-            with_timeout(Duration::from_micros(ledger.settings.stuck), pending.done()).await;
+            with_timeout(Duration::from_micros(ledger.settings.disk_timeout), pending.done()).await;
         }
     }
 
@@ -186,8 +188,13 @@
         }
         let phase = PHASES.iter().position(|p| *p == status.phase).unwrap_or(0) as u8;
         let since = now.saturating_sub(status.age);
-        let status =
-            snapshot::News { build: status.build, stage: status.stage, phase, cap: status.cap, since };
+        let status = snapshot::RolloutStatus {
+            build: status.build,
+            stage: status.stage,
+            phase,
+            cap: status.cap,
+            since,
+        };
         *self.status.borrow_mut() = Some(status);
         self.changed.set(self.has_fresh_list.get());
     }
@@ -200,8 +207,14 @@
         }
         let lines = self.rows.borrow().values().map(|r| snapshot_line(r, names)).collect();
         let news = self.status.borrow().clone();
-        let known = Known { at: now, deployment: deployment(names), index: 0, lines, news };
-        if ledger.writer.give(Op::Snapshot(known)).is_ok() {
+        let known = Snapshot {
+            written_at: now,
+            deployment: deployment(names),
+            index: 0,
+            machines: lines,
+            rollout_status: news,
+        };
+        if ledger.writer.submit(Op::Snapshot(known)).is_ok() {
             self.changed.set(false);
             self.snapshot_at.set(now);
         }
@@ -235,7 +248,7 @@
         let name = self.class_names.get(class).map_or("", String::as_str);
         let keyed = policy.is_some_and(|p| p.idempotency == Idempotency::Keyed) && call.key != 0;
         let identity = if keyed { format!("key {}", call.key) } else { call.call_id.clone() };
-        (self.writer.id_of(name, &identity), policy.map_or(self.settings.keep, |p| p.retention))
+        (self.writer.id_of(name, &identity), policy.map_or(self.settings.retention, |p| p.retention))
     }
 }
 
@@ -246,10 +259,10 @@
     [&names.classes, &names.zones, &names.kinds, &names.tenants].map(|n| n.join(",")).join(";")
 }
 
-fn snapshot_line(row: &Row, names: &Names) -> Line {
+fn snapshot_line(row: &Row, names: &Names) -> MachineRecord {
     let entry = &row.entry;
     let name = |all: &[String], at: usize| all.get(at).cloned().unwrap_or_default();
-    Line {
+    MachineRecord {
         machine: entry.machine,
         address: row.address.map(|a| a.to_string()).unwrap_or_default(),
         zone: name(&names.zones, entry.zone.into()),
@@ -258,14 +271,14 @@
         cell: entry.cell,
         ready: entry.state == MachineState::Ready,
         weight: entry.weight,
-        started: entry.started_at,
+        started_at: entry.started_at,
     }
 }
 
 /// Returns the rows of a snapshot in the form in which discovery sends them.
-pub fn snapshot_rows(known: &Known, names: &Names) -> Vec<Row> {
+pub fn snapshot_rows(known: &Snapshot, names: &Names) -> Vec<Row> {
     let position = |all: &[String], name: &str| all.iter().position(|n| n == name);
-    let row = |line: &Line| {
+    let row = |line: &MachineRecord| {
         let entry = yarrowspoke::interface::MachineEntry {
             machine: line.machine,
             zone: position(&names.zones, &line.zone).map_or(u16::MAX, |z| z as u16),
@@ -274,9 +287,9 @@
             cell: line.cell,
             state: if line.ready { MachineState::Ready } else { MachineState::Draining },
             weight: line.weight,
-            started_at: line.started,
+            started_at: line.started_at,
         };
         Some(Row { address: Some(line.address.parse().ok()?), entry })
     };
-    known.lines.iter().filter_map(row).collect()
+    known.machines.iter().filter_map(row).collect()
 }
--- a/crates/yarrowspoke-front/src/planner.rs
+++ b/crates/yarrowspoke-front/src/planner.rs
@@ -24,7 +24,7 @@
 use yarrowspoke_fleet::wire::{
     decode, decode_with_list, encode, encode_with_list, Heartbeat, Pull, PullResponse,
 };
-use yarrowspoke_store::reports::{Key, Reports};
+use yarrowspoke_store::reports::{ReportKey, Reports};
 
 /// How often new reports are passed to the disk and changed steps are logged.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(100);
@@ -45,12 +45,12 @@
     empty and it was not started with --found";
 
 /// Work for the disk thread: reports to write, and keys of reports to delete.
-type Write = (Vec<(Key, Report)>, Vec<Key>);
+type Write = (Vec<(ReportKey, Report)>, Vec<ReportKey>);
 
 /// Reads the reports of a directory. Returns them with a line for each record that could not be read.
 pub fn read_report_log(dir: &Path) -> Result<(ReportLog, Vec<String>), String> {
     let read = Reports::open(dir).and_then(|r| r.read::<Report>()).map_err(|e| e.to_string())?;
-    let (mut report_log, mut unreadable) = (ReportLog::default(), read.spoilt);
+    let (mut report_log, mut unreadable) = (ReportLog::default(), read.unreadable);
     for ((front, incarnation, ..), report) in read.reports {
         if let Err(e) = report_log.insert(&front, incarnation, report) {
             unreadable.push(format!("{front} incarnation {incarnation}: {e}"));
@@ -67,7 +67,7 @@
     /// Entries proposed recently and when, so that an entry is not proposed again at every tick.
     proposed_at: RefCell<BTreeMap<String, Instant>>,
     started: Instant,
-    unwritten: RefCell<Vec<(Key, Report)>>,
+    unwritten: RefCell<Vec<(ReportKey, Report)>>,
     has_directory: bool,
 }
 
@@ -305,7 +305,7 @@
         let (sender, receiver) = mpsc::sync_channel::<Write>(64);
         let work = move || {
             for (new, expired) in receiver {
-                if let Err(e) = reports.keep(&new, &expired) {
+                if let Err(e) = reports.update(&new, &expired) {
                     log::error!("fleet: reports could not be written to disk: {e}");
                 }
             }
@@ -397,7 +397,7 @@
         log::info!(front = front.as_str(), step:?; "fleet: step");
     }
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
-    let expired: Vec<Key> = planner.report_log.prune(wall.saturating_sub(keep), keep_bytes);
+    let expired: Vec<ReportKey> = planner.report_log.prune(wall.saturating_sub(keep), keep_bytes);
     let Some(writes) = writes else { return };
     let new = running.unwritten.take();
     if new.is_empty() && expired.is_empty() {
--- a/crates/yarrowspoke-front/src/run.rs
+++ b/crates/yarrowspoke-front/src/run.rs
@@ -28,7 +28,7 @@
 use yarrowspoke_operator::OperatorError;
 use yarrowspoke_settings::Settings;
 use yarrowspoke_store::disk::Dir;
-use yarrowspoke_store::snapshot::{trust, Bounds, Trust};
+use yarrowspoke_store::snapshot::{trust, Trust, TrustBounds};
 use yarrowspoke_store::store::Store;
 use yarrowspoke_store::writer;
 
@@ -87,7 +87,7 @@
         let (mut rules, mut store, mut fleet) = (None, None, None);
         if let Some(path) = &self.operator {
             let operator = yarrowspoke_operator::load(path)?;
-            config.settings.module.error_rates = operator.verdicts;
+            config.settings.module.error_rates = operator.error_rates;
             rules = operator.rules;
             store = operator.store;
             fleet = operator.fleet.map(|f| f.fleet);
@@ -122,11 +122,16 @@
     let now = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_micros() as u64);
     let dir = Dir::open(&settings.directory)?;
     let new_store_id = u128::from(config.seed) << 64 | u128::from(now);
-    let (store, report) = Store::open(&dir, new_store_id, settings.bytes, now).map_err(io::Error::other)?;
+    let (store, report) =
+        Store::open(&dir, new_store_id, settings.max_bytes, now).map_err(io::Error::other)?;
     log::info!("store: {report:?}");
     let names = &config.settings.names;
-    let bounds = Bounds { fresh: settings.fresh, stale: settings.stale, ahead: MAX_CLOCK_SKEW };
-    let rows = match store.known().map_err(io::Error::other)? {
+    let bounds = TrustBounds {
+        full_trust_age: settings.full_trust_age,
+        no_trust_age: settings.no_trust_age,
+        max_clock_skew: MAX_CLOCK_SKEW,
+    };
+    let rows = match store.snapshot().map_err(io::Error::other)? {
         None => None,
         Some(known) => match trust(&known, now, &ledger_writer::deployment(names), 0, &bounds) {
             Trust::None(why) => {
@@ -134,12 +139,12 @@
                 None
             }
             trusted => {
-                log::info!("store: a list of {} machines is stored: {trusted:?}", known.lines.len());
+                log::info!("store: a list of {} machines is stored: {trusted:?}", known.machines.len());
                 Some(ledger_writer::snapshot_rows(&known, names))
             }
         },
     };
-    let (handle, _) = writer::start(store, dir, Duration::from_micros(settings.delay))?;
+    let (handle, _) = writer::start(store, dir, Duration::from_micros(settings.group_delay))?;
     Ok((LedgerWriter::new(handle, settings, &config.settings), rows))
 }
 
--- a/crates/yarrowspoke-front/src/store_commands.rs
+++ b/crates/yarrowspoke-front/src/store_commands.rs
@@ -21,7 +21,7 @@
 fn summary(report: &Report) -> String {
     format!(
         "incarnation {}, commit {}; {} records of {} bytes: {} with unknown outcome, {} done, {} not run; file of {} bytes\n",
-        report.life, report.commit, report.records, report.bytes, report.in_doubt, report.done, report.not_run, report.file_bytes
+        report.incarnation, report.commit, report.records, report.bytes, report.in_doubt, report.done, report.not_run, report.file_bytes
     )
 }
 
@@ -44,9 +44,9 @@
         match known {
             None => text += "no list of machines stored\n",
             Some(known) => {
-                let age = unix_time_us().saturating_sub(known.at) as f64 / 1e6;
-                let _ = writeln!(text, "a list of {} machines, {age:.0} s old", known.lines.len());
-                for line in &known.lines {
+                let age = unix_time_us().saturating_sub(known.written_at) as f64 / 1e6;
+                let _ = writeln!(text, "a list of {} machines, {age:.0} s old", known.machines.len());
+                for line in &known.machines {
                     let state = if line.ready { "up" } else { "draining" };
                     let _ = writeln!(
                         text,
--- a/crates/yarrowspoke-lab/src/scale/record.rs
+++ b/crates/yarrowspoke-lab/src/scale/record.rs
@@ -55,11 +55,11 @@
             before = after;
             batch.push(((name.clone(), life, number, number), report));
             if batch.len() == BATCH {
-                kept.keep(&batch, &[]).map_err(io::Error::other)?;
+                kept.update(&batch, &[]).map_err(io::Error::other)?;
                 batch.clear();
             }
         }
         left = left.saturating_sub(each as usize);
     }
-    kept.keep(&batch, &[]).map_err(io::Error::other)
+    kept.update(&batch, &[]).map_err(io::Error::other)
 }
--- a/crates/yarrowspoke-lab/src/store/mod.rs
+++ b/crates/yarrowspoke-lab/src/store/mod.rs
@@ -12,8 +12,8 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::time::{Duration, Instant};
 use yarrowspoke_store::disk::Dir;
-use yarrowspoke_store::ledger::{Outcome, Ruling, State};
-use yarrowspoke_store::store::{served, Done, Op, Store};
+use yarrowspoke_store::ledger::{Decision, Outcome, State};
+use yarrowspoke_store::store::{served_state, Op, OpResult, Store};
 use yarrowspoke_store::writer;
 
 /// Most bytes of all records in the trials.
@@ -140,14 +140,14 @@
                 let id = self.open.swap_remove(at);
                 let ran = self.seen.get(&id).is_some_and(|s| s.ran);
                 let state = match self.rng.gen_range(0..4) {
-                    0 => served(&vec![7; self.rng.gen_range(0..400)], 200),
-                    1 => served(b"ok", 200),
+                    0 => served_state(&vec![7; self.rng.gen_range(0..400)], 200),
+                    1 => served_state(b"ok", 200),
                     2 if !ran => State::NotRun,
                     _ => State::Done(Outcome::Failed),
                 };
                 self.seen.entry(id).or_default().given = Some(state.clone());
                 ends.insert(id, state.clone());
-                ops.push(Op::End { id, state, keep: KEEP });
+                ops.push(Op::End { id, state, retention: KEEP });
             } else {
                 // A new request, or one that comes again.
                 let again = self.seen.keys().filter(|id| !self.open.contains(id) && !ends.contains_key(*id));
@@ -159,7 +159,7 @@
                     self.next
                 };
                 if !ops.iter().any(|o| matches!(o, Op::Begin { id: other, .. } if *other == id)) {
-                    ops.push(Op::Begin { id, keep: KEEP });
+                    ops.push(Op::Begin { id, retention: KEEP });
                 }
             }
         }
@@ -173,7 +173,7 @@
         };
         for (op, done) in ops.iter().zip(done) {
             match (op, done) {
-                (Op::Begin { id, .. }, Done::Ruled(ruling)) => self.ruled(*id, &ruling, report),
+                (Op::Begin { id, .. }, OpResult::Decided(ruling)) => self.ruled(*id, &ruling, report),
                 (Op::End { id, .. }, _) => {
                     let state = ends.remove(id);
                     let seen = self.seen.entry(*id).or_default();
@@ -186,7 +186,7 @@
     }
 
     /// Acts on a ruling as the front would, and holds it against what was seen.
-    fn ruled(&mut self, id: u128, ruling: &Ruling, report: &mut Report) {
+    fn ruled(&mut self, id: u128, ruling: &Decision, report: &mut Report) {
         let open = self.open.contains(&id);
         let seen = self.seen.entry(id).or_default();
         let mut wrong = |what: &mut u64, text: &str| {
@@ -194,24 +194,24 @@
             report.failures.push(format!("request {id}: {text}: {ruling:?} after {seen:?}"));
         };
         match (ruling, &seen.promised) {
-            (Ruling::Admit, None | Some(State::NotRun)) if !seen.ran => {}
-            (Ruling::Admit, Some(State::NotRun)) => {}
+            (Decision::Admit, None | Some(State::NotRun)) if !seen.ran => {}
+            (Decision::Admit, Some(State::NotRun)) => {}
             // Its end reached the disk, though the front died before it could promise so.
-            (Ruling::Admit, _) if seen.given == Some(State::NotRun) && !seen.ran => {}
-            (Ruling::Admit, _) if seen.ran => wrong(&mut report.ran_twice, "it runs twice"),
-            (Ruling::Admit, _) => wrong(&mut report.lost_promised, "its promise is gone"),
-            (Ruling::InDoubt, Some(State::Intended)) => {}
-            (Ruling::Open, Some(State::Intended)) if open => {}
-            (Ruling::Again(a), Some(State::Done(Outcome::Served(Some(b))))) if a == b => {}
-            (Ruling::AlreadyDone, Some(State::Done(Outcome::Served(None)))) => {}
-            (Ruling::FailedBefore, Some(State::Done(Outcome::Failed))) => {}
-            (Ruling::Full(_), _) => {}
+            (Decision::Admit, _) if seen.given == Some(State::NotRun) && !seen.ran => {}
+            (Decision::Admit, _) if seen.ran => wrong(&mut report.ran_twice, "it runs twice"),
+            (Decision::Admit, _) => wrong(&mut report.lost_promised, "its promise is gone"),
+            (Decision::InDoubt, Some(State::Intended)) => {}
+            (Decision::InProgress, Some(State::Intended)) if open => {}
+            (Decision::Replay(a), Some(State::Done(Outcome::Served(Some(b))))) if a == b => {}
+            (Decision::AlreadyDone, Some(State::Done(Outcome::Served(None)))) => {}
+            (Decision::FailedBefore, Some(State::Done(Outcome::Failed))) => {}
+            (Decision::NoSpace(_), _) => {}
             // What was never promised may have reached the disk all the same; nobody was told anything of it.
             (_, promised) if seen.told.is_none() && *promised != Some(State::NotRun) => {}
             (_, Some(State::NotRun)) => {}
             _ => wrong(&mut report.answered_twice, "another answer"),
         }
-        if *ruling == Ruling::Admit {
+        if *ruling == Decision::Admit {
             // Durable, so it may go. Now and then it ends before its first byte is written.
             seen.ran = self.rng.gen_bool(0.8);
             (seen.promised, seen.told, seen.given) = (Some(State::Intended), None, None);
@@ -225,14 +225,14 @@
         let all: Vec<u128> = self.seen.keys().copied().collect();
         for ids in all.chunks(64) {
             self.now += S / 100;
-            let ops: Vec<Op> = ids.iter().map(|id| Op::Begin { id: *id, keep: KEEP }).collect();
+            let ops: Vec<Op> = ids.iter().map(|id| Op::Begin { id: *id, retention: KEEP }).collect();
             let Ok(done) = store.commit(&ops, self.now) else {
                 report.failures.push("a store just opened fails".to_owned());
                 report.crashes_refused += 1;
                 return;
             };
             for (id, done) in ids.iter().zip(done) {
-                if let Done::Ruled(ruling) = done {
+                if let OpResult::Decided(ruling) = done {
                     self.ruled(*id, &ruling, report);
                 }
             }
@@ -417,8 +417,8 @@
 
 /// Throughput of groups over one sync for each operation on a directory of the system, and the former a second.
 pub fn group_commit(dir: &std::path::Path, ops: usize) -> std::io::Result<(f64, f64)> {
-    let failed = |e: yarrowspoke_store::store::Refused| std::io::Error::other(e.to_string());
-    let begin = |n: usize| Op::Begin { id: n as u128, keep: KEEP };
+    let failed = |e: yarrowspoke_store::store::StoreError| std::io::Error::other(e.to_string());
+    let begin = |n: usize| Op::Begin { id: n as u128, retention: KEEP };
     let single_ops = (ops / 20).max(1);
     let single = {
         let (mut store, _) = Store::open(&Dir::open(dir)?, ID, 1 << 40, S).map_err(failed)?;
@@ -440,7 +440,7 @@
                 let _ = writer::Pending::wait(first);
             }
         }
-        match hand.give(begin(1_000_000 + n)) {
+        match hand.submit(begin(1_000_000 + n)) {
             Ok(job) => pending.push_back(job),
             Err(e) => return Err(std::io::Error::other(format!("{e:?}"))),
         }
@@ -469,7 +469,7 @@
 
 /// Offers `per_s` intents a second for `seconds` to a disk whose syncs take `sync_ms`; arrivals do not wait for answers.
 pub fn slow_disk(sync_ms: u64, per_s: usize, seconds: usize) -> std::io::Result<Slow> {
-    let failed = |e: yarrowspoke_store::store::Refused| std::io::Error::other(e.to_string());
+    let failed = |e: yarrowspoke_store::store::StoreError| std::io::Error::other(e.to_string());
     let disk = SimDisk::default();
     let (store, _) = Store::open(&disk, ID, 1 << 40, S).map_err(failed)?;
     disk.slow_down(Duration::from_millis(sync_ms));
@@ -492,7 +492,7 @@
         // Timed by when it should have come: a late generator must not look like a quick disk.
         let due = begun + Duration::from_secs_f64(n as f64 / per_s as f64);
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
-        match hand.give(Op::Begin { id: n as u128, keep: KEEP }) {
+        match hand.submit(Op::Begin { id: n as u128, retention: KEEP }) {
             Ok(pending) => drop(given.send((due, pending))),
             Err(_) => crowded += 1,
         }
@@ -509,14 +509,18 @@
 /// the first day and over all, in bytes.
 pub fn days(days: u64) -> Result<(u64, u64), String> {
     let disk = SimDisk::default();
-    let said = |e: yarrowspoke_store::store::Refused| e.to_string();
+    let said = |e: yarrowspoke_store::store::StoreError| e.to_string();
     let (mut store, _) = Store::open(&disk, ID, MOST, S).map_err(said)?;
     let (mut first, mut most) = (0, 0);
     for minute in 0..days * 24 * 60 {
         let now = S + minute * 60 * S;
         let id = |n: u64| u128::from(minute * 100 + n);
-        let mut ops: Vec<Op> = (0..30).map(|n| Op::Begin { id: id(n), keep: KEEP }).collect();
-        ops.extend((0..30).map(|n| Op::End { id: id(n), state: served(&[1; 100], 200), keep: KEEP }));
+        let mut ops: Vec<Op> = (0..30).map(|n| Op::Begin { id: id(n), retention: KEEP }).collect();
+        ops.extend((0..30).map(|n| Op::End {
+            id: id(n),
+            state: served_state(&[1; 100], 200),
+            retention: KEEP,
+        }));
         store.commit(&ops, now).map_err(said)?;
         most = most.max(store.file_bytes().map_err(|e| e.to_string())?);
         if minute == 24 * 60 - 1 {
--- a/crates/yarrowspoke-operator/src/lib.rs
+++ b/crates/yarrowspoke-operator/src/lib.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub struct Operator {
     /// Rates of judging; the decision module's own if none.
-    pub verdicts: Option<ErrorRates>,
+    pub error_rates: Option<ErrorRates>,
     /// Rules by which requests are classified; none if it is not there.
     pub rules: Option<Rules>,
     /// What outlasts a restart; nothing if it is not there.
@@ -91,7 +91,7 @@
             continue;
         }
         match name {
-            "verdicts" => operator.verdicts = Some(verdicts(section, &mut faults)),
+            "verdicts" => operator.error_rates = Some(verdicts(section, &mut faults)),
             "fleet" => operator.fleet = fleet::fleet(section, &mut faults),
             "rules" => operator.rules = rules::rules(section, text, &mut faults),
             "store" => operator.store = store::store(section, &mut faults),
--- a/crates/yarrowspoke-operator/src/rules.rs
+++ b/crates/yarrowspoke-operator/src/rules.rs
@@ -7,15 +7,15 @@
 use yarrowspoke_expr::set::{Order, RuleSource, Set, SetSource};
 
 /// Keys of limits that are counted apart, if the file says nothing.
-const BUCKETS: usize = 8_192;
+const DEFAULT_LIMIT_KEYS: usize = 8_192;
 
 /// The section, compiled.
 pub struct Rules {
     /// The compiled set.
     pub set: Set,
     /// Keys of limits that are counted apart.
-    pub buckets: usize,
-    places: Places,
+    pub max_limit_keys: usize,
+    positions: RulePositions,
 }
 
 impl std::fmt::Debug for Rules {
@@ -25,13 +25,13 @@
 }
 
 /// Where the rules' texts stand in the file.
-struct Places {
+struct RulePositions {
     text: String,
     section: (usize, usize),
     rules: Vec<[Option<(usize, usize)>; 4]>,
 }
 
-impl Places {
+impl RulePositions {
     fn fault(&self, f: RuleFault) -> Fault {
         let piece = match f.piece {
             Piece::When => 0,
@@ -53,14 +53,16 @@
 impl Rules {
     /// Turns names into a deployment's positions; refuses what would loosen its guards.
     pub fn bind(&mut self, world: &World) -> Result<(), Vec<Fault>> {
-        let places = &self.places;
-        self.set.bind(world).map_err(|faults| faults.into_iter().map(|f| places.fault(f)).collect())
+        let positions = &self.positions;
+        self.set.bind(world).map_err(|faults| faults.into_iter().map(|f| positions.fault(f)).collect())
     }
 
     /// What is odd in the set, each with its line and column.
     pub fn warnings(&self) -> Vec<(usize, usize, String)> {
         let place = |rule: Option<usize>| {
-            rule.and_then(|n| self.places.rules.get(n)).and_then(|r| r[3]).unwrap_or(self.places.section)
+            rule.and_then(|n| self.positions.rules.get(n))
+                .and_then(|r| r[3])
+                .unwrap_or(self.positions.section)
         };
         self.set.warnings.iter().map(|w| (place(w.rule).0, place(w.rule).1, w.text.clone())).collect()
     }
@@ -70,8 +72,8 @@
 pub fn rules(section: &Form, text: &str, faults: &mut Vec<Fault>) -> Option<Rules> {
     let before = faults.len();
     let mut source = SetSource::default();
-    let mut places = Places { text: text.to_owned(), section: section.place(), rules: Vec::new() };
-    let mut buckets = BUCKETS;
+    let mut positions = RulePositions { text: text.to_owned(), section: section.place(), rules: Vec::new() };
+    let mut max_limit_keys = DEFAULT_LIMIT_KEYS;
     let mut once: Vec<String> = Vec::new();
     for field in section.fields(faults) {
         if field.name != "rule" {
@@ -112,12 +114,12 @@
             "buckets" => {
                 let wanted = "keys of limits counted apart, 2 to 1000000";
                 let most = field.whole(wanted, faults, |n| (2..=1_000_000).contains(&n));
-                buckets = most.map_or(buckets, |n| n as usize);
+                max_limit_keys = most.map_or(max_limit_keys, |n| n as usize);
             }
             "rule" => {
                 if let Some((rule, place)) = rule(&field, faults) {
                     source.rules.push(rule);
-                    places.rules.push(place);
+                    positions.rules.push(place);
                 }
             }
             _ => faults
@@ -128,9 +130,9 @@
         return None;
     }
     match Set::compile(&source) {
-        Ok(set) => Some(Rules { set, buckets, places }),
+        Ok(set) => Some(Rules { set, max_limit_keys, positions }),
         Err(found) => {
-            faults.extend(found.into_iter().map(|f| places.fault(f)));
+            faults.extend(found.into_iter().map(|f| positions.fault(f)));
             None
         }
     }
--- a/crates/yarrowspoke-operator/src/store.rs
+++ b/crates/yarrowspoke-operator/src/store.rs
@@ -10,36 +10,36 @@
     /// The directory, this front's alone.
     pub directory: PathBuf,
     /// Microseconds for which an ended request is remembered.
-    pub keep: u64,
+    pub retention: u64,
     /// Most bytes of all records.
-    pub bytes: u64,
+    pub max_bytes: u64,
     /// Answers up to so many bytes are kept, to be given again.
-    pub answers: usize,
+    pub max_answer_bytes: usize,
     /// Microseconds for which a group gathers at the most.
-    pub delay: u64,
+    pub group_delay: u64,
     /// Microseconds after which a disk that has not answered holds a request no longer.
-    pub stuck: u64,
+    pub disk_timeout: u64,
     /// `GET /up` says no once the disk has failed.
     pub down_when_failed: bool,
     /// A snapshot is as good as told up to this age, in microseconds...
-    pub fresh: u64,
+    pub full_trust_age: u64,
     /// ...and of no use from this one.
-    pub stale: u64,
+    pub no_trust_age: u64,
 }
 
 /// Reads the section.
 pub fn store(section: &Form, faults: &mut Vec<Fault>) -> Option<StoreSettings> {
     let before = faults.len();
-    let mut s = StoreSettings {
+    let mut settings = StoreSettings {
         directory: PathBuf::new(),
-        keep: 600_000_000,
-        bytes: 16 * 1024 * 1024,
-        answers: 4_096,
-        delay: 1_000,
-        stuck: 1_000_000,
+        retention: 600_000_000,
+        max_bytes: 16 * 1024 * 1024,
+        max_answer_bytes: 4_096,
+        group_delay: 1_000,
+        disk_timeout: 1_000_000,
         down_when_failed: false,
-        fresh: 10_000_000,
-        stale: 3_600_000_000,
+        full_trust_age: 10_000_000,
+        no_trust_age: 3_600_000_000,
     };
     let fields = section.fields(faults);
     for (n, field) in fields.iter().enumerate() {
@@ -54,26 +54,40 @@
         match field.name.as_str() {
             "directory" => {
                 let path = field.text("a path as a string", faults);
-                s.directory = path.map(PathBuf::from).unwrap_or_default();
+                settings.directory = path.map(PathBuf::from).unwrap_or_default();
+            }
+            "keep" => {
+                settings.retention =
+                    seconds("seconds, 1 to 604800", 1.0, 604_800.0).unwrap_or(settings.retention)
+            }
+            "delay" => {
+                settings.group_delay = seconds("seconds, 0 to 0.1", 0.0, 0.1).unwrap_or(settings.group_delay)
+            }
+            "stuck" => {
+                settings.disk_timeout =
+                    seconds("seconds, 0.01 to 10", 0.01, 10.0).unwrap_or(settings.disk_timeout)
+            }
+            "fresh" => {
+                settings.full_trust_age =
+                    seconds("seconds, 0 to 3600", 0.0, 3_600.0).unwrap_or(settings.full_trust_age)
+            }
+            "stale" => {
+                settings.no_trust_age =
+                    seconds("seconds, 1 to 604800", 1.0, 604_800.0).unwrap_or(settings.no_trust_age)
             }
-            "keep" => s.keep = seconds("seconds, 1 to 604800", 1.0, 604_800.0).unwrap_or(s.keep),
-            "delay" => s.delay = seconds("seconds, 0 to 0.1", 0.0, 0.1).unwrap_or(s.delay),
-            "stuck" => s.stuck = seconds("seconds, 0.01 to 10", 0.01, 10.0).unwrap_or(s.stuck),
-            "fresh" => s.fresh = seconds("seconds, 0 to 3600", 0.0, 3_600.0).unwrap_or(s.fresh),
-            "stale" => s.stale = seconds("seconds, 1 to 604800", 1.0, 604_800.0).unwrap_or(s.stale),
             "bytes" => {
                 let wanted = "bytes, 100000 to 1000000000000";
-                s.bytes = field
+                settings.max_bytes = field
                     .whole(wanted, faults, |n| (100_000..=1_000_000_000_000).contains(&n))
-                    .unwrap_or(s.bytes);
+                    .unwrap_or(settings.max_bytes);
             }
             "answers" => {
                 let most = field.whole("bytes, 0 to 65536", faults, |n| n <= 65_536);
-                s.answers = most.map_or(s.answers, |n| n as usize);
+                settings.max_answer_bytes = most.map_or(settings.max_answer_bytes, |n| n as usize);
             }
             "when-failed" => match field.word("serve or down", faults).as_deref() {
-                Some("serve") => s.down_when_failed = false,
-                Some("down") => s.down_when_failed = true,
+                Some("serve") => settings.down_when_failed = false,
+                Some("down") => settings.down_when_failed = true,
                 Some(_) => faults.push(field.fault_of_value("serve or down")),
                 None => {}
             },
@@ -84,8 +98,8 @@
     }
     if !fields.iter().any(|f| f.name == "directory") {
         faults.push(section.fault("the field directory in it"));
-    } else if s.fresh >= s.stale {
+    } else if settings.full_trust_age >= settings.no_trust_age {
         faults.push(section.fault("fresh below stale"));
     }
-    (faults.len() == before).then_some(s)
+    (faults.len() == before).then_some(settings)
 }
--- a/crates/yarrowspoke-operator/tests/faults.rs
+++ b/crates/yarrowspoke-operator/tests/faults.rs
@@ -6,18 +6,18 @@
 
 #[test]
 fn a_right_file_is_read_and_an_empty_one_switches_nothing_on() {
-    let v = parse(RIGHT).unwrap().verdicts.unwrap();
+    let v = parse(RIGHT).unwrap().error_rates.unwrap();
     assert_eq!(
         (v.false_rollback, v.missed_fault, v.min_failure_increase, v.min_slowdown),
         (0.02, 0.05, 0.05, 1.5)
     );
-    assert_eq!(parse("").unwrap().verdicts, None);
+    assert_eq!(parse("").unwrap().error_rates, None);
 }
 
 #[test]
 fn the_file_that_is_deployed_states_what_the_module_takes_by_itself() {
     let deployed = parse(include_str!("../../../deploy/operator.sexp")).unwrap();
-    assert_eq!(deployed.verdicts, Some(yarrowspoke::rules::DEFAULT_ERROR_RATES));
+    assert_eq!(deployed.error_rates, Some(yarrowspoke::rules::DEFAULT_ERROR_RATES));
 }
 
 /// Each fault with its place and a word of what was expected.
--- a/crates/yarrowspoke-store/src/ledger.rs
+++ b/crates/yarrowspoke-store/src/ledger.rs
@@ -41,18 +41,20 @@
     /// Where the request stands.
     pub state: State,
     /// The life of the store in which it was written.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Kept until then.
-    pub until: Micros,
+    #[serde(rename = "until")]
+    pub expires_at: Micros,
 }
 
 /// What becomes of a request that comes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Ruling {
+pub enum Decision {
     /// It may go, once its intent is durable.
     Admit,
     /// It is answered as it was before.
-    Again(Vec<u8>),
+    Replay(Vec<u8>),
     /// It ran and its answer is not kept: it is turned away as done, which is no leave to try again.
     AlreadyDone,
     /// It failed before, and may have run: it fails again.
@@ -60,73 +62,86 @@
     /// Its end is not known: it fails, and is never sent.
     InDoubt,
     /// It is open in this very life: two answers to one request would be taken for each other.
-    Open,
+    InProgress,
     /// There is no room to remember it: refused, to come back after so long.
-    Full(Micros),
+    NoSpace(Micros),
 }
 
 /// What the ledger holds, as far as it decides about the next request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Room {
+pub struct SpaceUsage {
     /// Bytes of all records.
     pub bytes: u64,
     /// Most bytes.
-    pub most: u64,
+    pub max_bytes: u64,
     /// When the record that is due first may be forgotten; `None` if there is none.
-    pub first_due: Option<Micros>,
+    pub first_expiry: Option<Micros>,
 }
 
 /// Rules on a request that comes at `now`, by its record if there is one.
-pub fn rule(record: Option<&Record>, life: u64, now: Micros, room: &Room, needs: u64) -> Ruling {
+pub fn decide(
+    record: Option<&Record>,
+    incarnation: u64,
+    now: Micros,
+    room: &SpaceUsage,
+    required: u64,
+) -> Decision {
     let fresh = || {
         // Danger: room made by forgetting a record too soon lets its request run twice. So the new one waits.
-        if room.bytes + needs > room.most {
-            let wait = room.first_due.map_or(SHORTEST_WAIT, |due| due.saturating_sub(now));
-            Ruling::Full(wait.max(SHORTEST_WAIT))
+        if room.bytes + required > room.max_bytes {
+            let wait = room.first_expiry.map_or(MIN_RETRY_AFTER, |due| due.saturating_sub(now));
+            Decision::NoSpace(wait.max(MIN_RETRY_AFTER))
         } else {
-            Ruling::Admit
+            Decision::Admit
         }
     };
     match record {
         None => fresh(),
-        Some(r) if r.until <= now && r.state != State::Intended => fresh(),
+        Some(r) if r.expires_at <= now && r.state != State::Intended => fresh(),
         Some(Record { state: State::NotRun, .. }) => fresh(),
-        Some(Record { state: State::Done(Outcome::Served(Some(body))), .. }) => Ruling::Again(body.clone()),
-        Some(Record { state: State::Done(Outcome::Served(None)), .. }) => Ruling::AlreadyDone,
-        Some(Record { state: State::Done(Outcome::Failed), .. }) => Ruling::FailedBefore,
-        Some(Record { state: State::Intended, life: of, until }) if *of < life => {
+        Some(Record { state: State::Done(Outcome::Served(Some(body))), .. }) => {
+            Decision::Replay(body.clone())
+        }
+        Some(Record { state: State::Done(Outcome::Served(None)), .. }) => Decision::AlreadyDone,
+        Some(Record { state: State::Done(Outcome::Failed), .. }) => Decision::FailedBefore,
+        Some(Record { state: State::Intended, incarnation: of, expires_at }) if *of < incarnation => {
             // An intent of an earlier life is kept like an end.
-            if *until <= now {
+            if *expires_at <= now {
                 fresh()
             } else {
-                Ruling::InDoubt
+                Decision::InDoubt
             }
         }
-        Some(Record { state: State::Intended, .. }) => Ruling::Open,
+        Some(Record { state: State::Intended, .. }) => Decision::InProgress,
     }
 }
 
 /// Least time to come back when there is no room.
-pub const SHORTEST_WAIT: Micros = 100_000;
+pub const MIN_RETRY_AFTER: Micros = 100_000;
 
 /// Whether a record may be forgotten at `now`: never an open one of this life.
-pub fn may_forget(record: &Record, life: u64, now: Micros) -> bool {
-    record.until <= now && !(record.state == State::Intended && record.life == life)
+pub fn may_expire(record: &Record, incarnation: u64, now: Micros) -> bool {
+    record.expires_at <= now && !(record.state == State::Intended && record.incarnation == incarnation)
 }
 
 /// The store's clock: it never goes back, also over restarts.
 ///
 /// Danger: with the system's clock set back, records written before would be kept for an hour too long, which is
 /// harmless; were it followed back, new ones would be forgotten too soon.
-pub fn clock(kept: Micros, system: Micros) -> Micros {
+pub fn advance_clock(kept: Micros, system: Micros) -> Micros {
     kept.max(system)
 }
 
 /// The end that is recorded over `record`; `None` if there is nothing to end, as the intent was never admitted.
-pub fn end(record: Option<&Record>, life: u64, state: State, until: Micros) -> Option<Record> {
+pub fn record_end(
+    record: Option<&Record>,
+    incarnation: u64,
+    state: State,
+    expires_at: Micros,
+) -> Option<Record> {
     match record {
-        Some(Record { state: State::Intended, life: of, .. }) if *of == life => {
-            Some(Record { state, life, until })
+        Some(Record { state: State::Intended, incarnation: of, .. }) if *of == incarnation => {
+            Some(Record { state, incarnation, expires_at })
         }
         _ => None,
     }
--- a/crates/yarrowspoke-store/src/reports.rs
+++ b/crates/yarrowspoke-store/src/reports.rs
@@ -16,7 +16,7 @@
 const CACHE: usize = 4 * 1024 * 1024;
 
 /// Where a report stands: front, life, first and last number.
-pub type Key = (String, u64, u64, u64);
+pub type ReportKey = (String, u64, u64, u64);
 
 /// Why the reports can't be kept or read.
 #[derive(Debug, Error)]
@@ -40,14 +40,14 @@
 
 /// What was read: reports by key, and why each of the others could not be.
 #[derive(Debug)]
-pub struct Read<T> {
+pub struct StoredReports<T> {
     /// Reports.
-    pub reports: BTreeMap<Key, T>,
+    pub reports: BTreeMap<ReportKey, T>,
     /// What could not be read.
-    pub spoilt: Vec<String>,
+    pub unreadable: Vec<String>,
 }
 
-fn bytes_of(key: &Key) -> Vec<u8> {
+fn bytes_of(key: &ReportKey) -> Vec<u8> {
     postcard::to_stdvec(key).unwrap_or_default()
 }
 
@@ -68,7 +68,11 @@
     }
 
     /// Keeps reports and gives others up, durably, in one go.
-    pub fn keep<T: Serialize>(&self, kept: &[(Key, T)], gone: &[Key]) -> Result<(), ReportsError> {
+    pub fn update<T: Serialize>(
+        &self,
+        kept: &[(ReportKey, T)],
+        gone: &[ReportKey],
+    ) -> Result<(), ReportsError> {
         let write = || -> Result<(), redb::Error> {
             let transaction = self.database.begin_write()?;
             {
@@ -88,9 +92,9 @@
     }
 
     /// Reads all of them.
-    pub fn read<T: DeserializeOwned>(&self) -> Result<Read<T>, ReportsError> {
-        let read = || -> Result<Read<T>, redb::Error> {
-            let mut out = Read { reports: BTreeMap::new(), spoilt: vec![] };
+    pub fn read<T: DeserializeOwned>(&self) -> Result<StoredReports<T>, ReportsError> {
+        let read = || -> Result<StoredReports<T>, redb::Error> {
+            let mut out = StoredReports { reports: BTreeMap::new(), unreadable: vec![] };
             let table = match self.database.begin_read()?.open_table(REPORTS) {
                 Ok(table) => table,
                 Err(redb::TableError::TableDoesNotExist(_)) => return Ok(out),
@@ -98,13 +102,13 @@
             };
             for entry in table.iter()? {
                 let (key, value) = entry?;
-                let named = postcard::from_bytes::<Key>(key.value());
+                let named = postcard::from_bytes::<ReportKey>(key.value());
                 match (named, unframe::<T>(key.value(), value.value())) {
                     (Ok(name), Ok(report)) => {
                         out.reports.insert(name, report);
                     }
-                    (Ok(name), Err(e)) => out.spoilt.push(format!("{name:?}: {e}")),
-                    (Err(e), _) => out.spoilt.push(format!("a key that cannot be read: {e}")),
+                    (Ok(name), Err(e)) => out.unreadable.push(format!("{name:?}: {e}")),
+                    (Err(e), _) => out.unreadable.push(format!("a key that cannot be read: {e}")),
                 }
             }
             Ok(out)
--- a/crates/yarrowspoke-store/src/snapshot.rs
+++ b/crates/yarrowspoke-store/src/snapshot.rs
@@ -8,22 +8,25 @@
 
 /// What a front knew.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Known {
+pub struct Snapshot {
     /// When it was written.
-    pub at: Micros,
+    #[serde(rename = "at")]
+    pub written_at: Micros,
     /// Names that the list goes by, so that another deployment's is known as such.
     pub deployment: String,
     /// The list's version.
     pub index: u64,
     /// The list.
-    pub lines: Vec<Line>,
+    #[serde(rename = "lines")]
+    pub machines: Vec<MachineRecord>,
     /// The newest build's state, if any was told.
-    pub news: Option<News>,
+    #[serde(rename = "news")]
+    pub rollout_status: Option<RolloutStatus>,
 }
 
 /// A machine, by names, as numbers hold for one deployment only.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Line {
+pub struct MachineRecord {
     /// Its number.
     pub machine: u32,
     /// Where it listens; empty if not known.
@@ -41,12 +44,13 @@
     /// Its size.
     pub weight: f64,
     /// When it started, in microseconds; 0 = long ago.
-    pub started: Micros,
+    #[serde(rename = "started")]
+    pub started_at: Micros,
 }
 
 /// The newest build's state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct RolloutStatus {
     /// The build.
     pub build: u16,
     /// Its stage.
@@ -59,15 +63,15 @@
     pub since: Micros,
 }
 
-/// Bounds of trust.
+/// TrustBounds of trust.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct TrustBounds {
     /// A list is as good as told up to this age.
-    pub fresh: Micros,
+    pub full_trust_age: Micros,
     /// And of no use from this age.
-    pub stale: Micros,
+    pub no_trust_age: Micros,
     /// A clock may be ahead of another by so much.
-    pub ahead: Micros,
+    pub max_clock_skew: Micros,
 }
 
 /// How far a snapshot is trusted.
@@ -82,27 +86,29 @@
 }
 
 /// How far a snapshot is trusted at `now`, in the deployment of this name, beside a configured list of version `index`.
-pub fn trust(known: &Known, now: Micros, deployment: &str, index: u64, bounds: &Bounds) -> Trust {
-    if known.deployment != deployment {
-        return Trust::None(format!("of deployment {:?}, this is {deployment:?}", known.deployment));
+pub fn trust(snapshot: &Snapshot, now: Micros, deployment: &str, index: u64, bounds: &TrustBounds) -> Trust {
+    if snapshot.deployment != deployment {
+        return Trust::None(format!("of deployment {:?}, this is {deployment:?}", snapshot.deployment));
     }
-    if known.at > now.saturating_add(bounds.ahead) {
-        let ahead = (known.at - now) as f64 / 1e6;
+    if snapshot.written_at > now.saturating_add(bounds.max_clock_skew) {
+        let ahead = (snapshot.written_at - now) as f64 / 1e6;
         return Trust::None(format!("written {ahead:.0} s in the future: a clock was set back or forward"));
     }
-    if known.index < index {
-        return Trust::None(format!("version {}, the configuration has {index}", known.index));
+    if snapshot.index < index {
+        return Trust::None(format!("version {}, the configuration has {index}", snapshot.index));
     }
-    let age = now.saturating_sub(known.at);
-    if age <= bounds.fresh {
+    let age = now.saturating_sub(snapshot.written_at);
+    if age <= bounds.full_trust_age {
         return Trust::Full;
     }
-    if age >= bounds.stale {
+    if age >= bounds.no_trust_age {
         return Trust::None(format!(
             "{} s old, of no use from {} s",
             age / 1_000_000,
-            bounds.stale / 1_000_000
+            bounds.no_trust_age / 1_000_000
         ));
     }
-    Trust::Part((bounds.stale - age) as f64 / (bounds.stale - bounds.fresh).max(1) as f64)
+    Trust::Part(
+        (bounds.no_trust_age - age) as f64 / (bounds.no_trust_age - bounds.full_trust_age).max(1) as f64,
+    )
 }
--- a/crates/yarrowspoke-store/src/store.rs
+++ b/crates/yarrowspoke-store/src/store.rs
@@ -1,10 +1,12 @@
 //! The ledger and the snapshot on disk, over redb.
 
 use crate::disk::{Disk, DiskFile};
-use crate::ledger::{clock, end, may_forget, rule, Micros, Outcome, Record, Room, Ruling, State};
+use crate::ledger::{
+    advance_clock, decide, may_expire, record_end, Decision, Micros, Outcome, Record, SpaceUsage, State,
+};
 use crate::mark::{Mark, Slot, FORMAT};
 use crate::record::{frame, unframe};
-use crate::snapshot::Known;
+use crate::snapshot::Snapshot;
 use redb::{Database, Durability, ReadableDatabase, ReadableTable, ReadableTableMetadata, TableDefinition};
 use serde::Serialize;
 use siphasher::sip128::{Hasher128, SipHasher13};
@@ -18,7 +20,7 @@
 const META: TableDefinition<&str, u128> = TableDefinition::new("meta");
 const LEDGER: TableDefinition<u128, &[u8]> = TableDefinition::new("ledger");
 const DUE: TableDefinition<(u64, u128), ()> = TableDefinition::new("due");
-const KNOWN: TableDefinition<u8, &[u8]> = TableDefinition::new("known");
+const SNAPSHOT: TableDefinition<u8, &[u8]> = TableDefinition::new("known");
 
 /// Bytes that the engine may cache.
 const CACHE: usize = 1024 * 1024;
@@ -29,7 +31,7 @@
 
 /// Why a store cannot be used. Nothing has been written.
 #[derive(Debug, Error)]
-pub enum Refused {
+pub enum StoreError {
     /// The disk failed.
     #[error("store: {0}")]
     Io(#[from] io::Error),
@@ -46,7 +48,7 @@
     },
 }
 
-impl Refused {
+impl StoreError {
     fn found(found: impl Into<String>, expected: impl Into<String>) -> Self {
         Self::Contradiction { found: found.into(), expected: expected.into() }
     }
@@ -54,7 +56,7 @@
 
 macro_rules! from_engine {
     ($($error:ty),*) => {
-        $(impl From<$error> for Refused {
+        $(impl From<$error> for StoreError {
             fn from(e: $error) -> Self {
                 Self::Engine(e.to_string())
             }
@@ -76,9 +78,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Report {
     /// It was made just now.
-    pub made: bool,
+    #[serde(rename = "made")]
+    pub created: bool,
     /// How many times it has been opened.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// The last commit.
     pub commit: u64,
     /// Records.
@@ -98,7 +102,7 @@
 }
 
 /// Ids and lives of requests without an end.
-pub type Doubts = Vec<(u128, u64)>;
+pub type UnknownOutcomes = Vec<(u128, u64)>;
 
 /// One thing to be done; all of a group are durable together.
 #[derive(Clone, Debug)]
@@ -108,7 +112,7 @@
         /// Its id.
         id: u128,
         /// Microseconds.
-        keep: Micros,
+        retention: Micros,
     },
     /// It has ended.
     End {
@@ -117,19 +121,19 @@
         /// How.
         state: State,
         /// Microseconds.
-        keep: Micros,
+        retention: Micros,
     },
     /// What the front knows now.
-    Snapshot(Known),
+    Snapshot(Snapshot),
 }
 
 /// What an operation came to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Done {
+pub enum OpResult {
     /// Of a request that came.
-    Ruled(Ruling),
+    Decided(Decision),
     /// Of anything else.
-    Noted,
+    Recorded,
 }
 
 #[derive(Debug)]
@@ -164,7 +168,7 @@
     /// `None` while it is only read.
     mark: Option<Arc<dyn DiskFile>>,
     last: Mark,
-    most: u64,
+    max_bytes: u64,
     kept: Micros,
     /// Danger: after a failed sync nobody knows what is on disk, and a later one may claim success. Nothing is promised
     /// any more until the store is opened anew.
@@ -180,7 +184,7 @@
     }
 }
 
-fn engine(file: &Arc<dyn DiskFile>) -> Result<Database, Refused> {
+fn engine(file: &Arc<dyn DiskFile>) -> Result<Database, StoreError> {
     let open = || {
         let mut builder = Database::builder();
         builder.set_cache_size(CACHE).set_check_integrity_on_open(true);
@@ -189,19 +193,24 @@
     // A damaged file must never end the program, whatever it makes of the engine.
     match catch_unwind(AssertUnwindSafe(open)) {
         Ok(opened) => Ok(opened?),
-        Err(_) => Err(Refused::Engine("the engine panicked on it".to_owned())),
+        Err(_) => Err(StoreError::Engine("the engine panicked on it".to_owned())),
     }
 }
 
 impl Store {
     /// Opens the store of a directory, or makes it with the id `fresh`; all bytes of records together stay within `most`.
-    pub fn open(disk: &dyn Disk, fresh: u128, most: u64, now: Micros) -> Result<(Self, Report), Refused> {
+    pub fn open(
+        disk: &dyn Disk,
+        fresh: u128,
+        max_bytes: u64,
+        now: Micros,
+    ) -> Result<(Self, Report), StoreError> {
         let there = disk.exists("ledger")?;
         let promised = Self::promised(disk)?;
-        let made = match (promised, there) {
+        let created = match (promised, there) {
             (Some(mark), false) => {
                 let found = format!("no ledger beside a mark of commit {}", mark.commit);
-                return Err(Refused::found(found, "both files, or neither"));
+                return Err(StoreError::found(found, "both files, or neither"));
             }
             // Danger: the engine writes as it opens, and what is refused must stay as it was found. So it is tried first
             // with its writes kept in memory.
@@ -214,7 +223,7 @@
         if disk.exists("ledger.new")? {
             disk.remove("ledger.new")?;
         }
-        if made {
+        if created {
             Self::make(disk, fresh, now)?;
         }
         let (mut store, mut report) = Self::opened(disk.open("ledger")?, promised)?;
@@ -223,69 +232,70 @@
             // Danger: a front that dies between the first commit and its mark would leave a ledger whose mark seems lost.
             store.last.write(mark.as_ref())?;
         }
-        (store.mark, store.most) = (Some(mark), most);
-        store.kept = clock(store.kept, now);
-        store.last.life += 1;
+        (store.mark, store.max_bytes) = (Some(mark), max_bytes);
+        store.kept = advance_clock(store.kept, now);
+        store.last.incarnation += 1;
         store.group(&[], now)?;
-        (report.made, report.life, report.commit) = (made, store.last.life, store.last.commit);
+        (report.created, report.incarnation, report.commit) =
+            (created, store.last.incarnation, store.last.commit);
         Ok((store, report))
     }
 
     /// Opens a ledger's file and reads all of it.
-    fn opened(file: Arc<dyn DiskFile>, promised: Option<Mark>) -> Result<(Self, Report), Refused> {
+    fn opened(file: Arc<dyn DiskFile>, promised: Option<Mark>) -> Result<(Self, Report), StoreError> {
         let database = engine(&file)?;
-        let last = promised.unwrap_or(Mark { commit: 0, life: 0, id: 0 });
-        let mut store = Self { last, database, file, mark: None, most: 0, kept: 0, broken: None };
+        let last = promised.unwrap_or(Mark { commit: 0, incarnation: 0, id: 0 });
+        let mut store = Self { last, database, file, mark: None, max_bytes: 0, kept: 0, broken: None };
         // A damaged file must never end the program.
         let checked = catch_unwind(AssertUnwindSafe(|| store.check(promised)));
         let report = match checked {
             Ok(report) => report?,
-            Err(_) => return Err(Refused::Engine("the engine panicked on it".to_owned())),
+            Err(_) => return Err(StoreError::Engine("the engine panicked on it".to_owned())),
         };
         Ok((store, report))
     }
 
     /// Reads a store without changing it: what is in it, or why it is refused.
-    pub fn verify(disk: &dyn Disk) -> Result<Report, Refused> {
+    pub fn verify(disk: &dyn Disk) -> Result<Report, StoreError> {
         Self::read_only(disk).map(|read| read.1)
     }
 
     /// The same, with the snapshot, and the ids and lives of requests without an end.
-    pub fn inspect(disk: &dyn Disk) -> Result<(Report, Option<Known>, Doubts), Refused> {
+    pub fn inspect(disk: &dyn Disk) -> Result<(Report, Option<Snapshot>, UnknownOutcomes), StoreError> {
         let (store, report) = Self::read_only(disk)?;
         let mut doubts = Vec::new();
         for entry in store.database.begin_read()?.open_table(LEDGER)?.iter()? {
             let (key, value) = entry?;
             let record = Self::read(key.value(), value.value())?;
             if record.state == State::Intended {
-                doubts.push((key.value(), record.life));
+                doubts.push((key.value(), record.incarnation));
             }
         }
-        Ok((report, store.known()?, doubts))
+        Ok((report, store.snapshot()?, doubts))
     }
 
-    fn read_only(disk: &dyn Disk) -> Result<(Self, Report), Refused> {
+    fn read_only(disk: &dyn Disk) -> Result<(Self, Report), StoreError> {
         if !disk.exists("ledger")? || !disk.exists("mark")? {
-            return Err(Refused::found("no ledger or no mark", "a store"));
+            return Err(StoreError::found("no ledger or no mark", "a store"));
         }
         let promised = Self::promised(disk)?;
         let (store, mut report) = Self::opened(Arc::new(Overlay::over(disk.open("ledger")?)?), promised)?;
-        (report.life, report.commit) = (store.last.life, store.last.commit);
+        (report.incarnation, report.commit) = (store.last.incarnation, store.last.commit);
         Ok((store, report))
     }
 
     /// The mark that counts, if there is one that can be read.
-    fn promised(disk: &dyn Disk) -> Result<Option<Mark>, Refused> {
+    fn promised(disk: &dyn Disk) -> Result<Option<Mark>, StoreError> {
         if !disk.exists("mark")? {
             return Ok(None);
         }
         let mut best: Option<Mark> = None;
         for slot in Mark::read(disk.open("mark")?.as_ref())? {
             match slot {
-                Slot::Alien(format) => {
-                    return Err(Refused::found(format!("format {format}"), format!("format {FORMAT}")));
+                Slot::OtherFormat(format) => {
+                    return Err(StoreError::found(format!("format {format}"), format!("format {FORMAT}")));
                 }
-                Slot::Good(mark) => best = best.max(Some(mark)),
+                Slot::Valid(mark) => best = best.max(Some(mark)),
                 Slot::Empty => {}
             }
         }
@@ -293,7 +303,7 @@
     }
 
     /// Makes a ledger under another name, and gives it its own once it is whole.
-    fn make(disk: &dyn Disk, id: u128, now: Micros) -> Result<(), Refused> {
+    fn make(disk: &dyn Disk, id: u128, now: Micros) -> Result<(), StoreError> {
         let file = disk.open("ledger.new")?;
         file.set_len(0)?;
         let database = engine(&file)?;
@@ -313,7 +323,7 @@
             meta.insert("records", 0)?;
             write.open_table(LEDGER)?;
             write.open_table(DUE)?;
-            write.open_table(KNOWN)?;
+            write.open_table(SNAPSHOT)?;
         }
         write.commit()?;
         drop(database);
@@ -323,31 +333,32 @@
     }
 
     /// Holds the ledger against the mark, and reads all of it.
-    fn check(&mut self, promised: Option<Mark>) -> Result<Report, Refused> {
+    fn check(&mut self, promised: Option<Mark>) -> Result<Report, StoreError> {
         let read = self.database.begin_read()?;
         let meta = read.open_table(META)?;
-        let number = |name: &str| -> Result<u128, Refused> {
+        let number = |name: &str| -> Result<u128, StoreError> {
             let value = meta.get(name)?.map(|v| v.value());
-            value.ok_or_else(|| Refused::found(format!("no {name} in the ledger"), "one"))
+            value.ok_or_else(|| StoreError::found(format!("no {name} in the ledger"), "one"))
         };
         let format = number("format")?;
         if format != u128::from(FORMAT) {
-            return Err(Refused::found(format!("format {format}"), format!("format {FORMAT}")));
+            return Err(StoreError::found(format!("format {format}"), format!("format {FORMAT}")));
         }
-        let (id, life, commit) = (number("id")?, number("life")? as u64, number("commit")? as u64);
+        let (id, incarnation, commit) = (number("id")?, number("life")? as u64, number("commit")? as u64);
         match promised {
             Some(mark) if mark.id != id => {
                 let found = format!("a ledger of store {id:032x}");
-                return Err(Refused::found(found, format!("{:032x}, as the mark says", mark.id)));
+                return Err(StoreError::found(found, format!("{:032x}, as the mark says", mark.id)));
             }
-            Some(mark) if commit < mark.commit || life < mark.life => {
-                let found = format!("a ledger that ends at commit {commit} of life {life}");
-                let expected = format!("commit {} of life {}, which was promised", mark.commit, mark.life);
-                return Err(Refused::found(found, expected));
+            Some(mark) if commit < mark.commit || incarnation < mark.incarnation => {
+                let found = format!("a ledger that ends at commit {commit} of life {incarnation}");
+                let expected =
+                    format!("commit {} of life {}, which was promised", mark.commit, mark.incarnation);
+                return Err(StoreError::found(found, expected));
             }
             None if commit > 0 => {
                 let found = format!("no readable mark beside a ledger of commit {commit}");
-                return Err(Refused::found(found, "the mark that tells what was promised"));
+                return Err(StoreError::found(found, "the mark that tells what was promised"));
             }
             _ => {}
         }
@@ -363,35 +374,35 @@
                 State::Done(_) => report.done += 1,
                 State::NotRun => report.not_run += 1,
             }
-            if due.get((record.until, key.value()))?.is_none() {
+            if due.get((record.expires_at, key.value()))?.is_none() {
                 let found = format!("record {:032x} without its place in the order of time", key.value());
-                return Err(Refused::found(found, "one"));
+                return Err(StoreError::found(found, "one"));
             }
         }
         if due.len()? != report.records || number("records")? as u64 != report.records {
             let found = format!("{} records, {} in the order of time", report.records, due.len()?);
-            return Err(Refused::found(found, format!("{} of both", number("records")?)));
+            return Err(StoreError::found(found, format!("{} of both", number("records")?)));
         }
-        report.snapshot = Self::known_in(&read.open_table(KNOWN)?)?.is_some();
+        report.snapshot = Self::snapshot_in(&read.open_table(SNAPSHOT)?)?.is_some();
         self.kept = number("clock")? as u64;
-        (self.last.id, self.last.life, self.last.commit) = (id, life, commit);
+        (self.last.id, self.last.incarnation, self.last.commit) = (id, incarnation, commit);
         Ok(report)
     }
 
-    fn read(key: u128, bytes: &[u8]) -> Result<Record, Refused> {
+    fn read(key: u128, bytes: &[u8]) -> Result<Record, StoreError> {
         unframe(&key.to_le_bytes(), bytes)
-            .map_err(|e| Refused::found(format!("record {key:032x} of {e}"), "a sound record"))
+            .map_err(|e| StoreError::found(format!("record {key:032x} of {e}"), "a sound record"))
     }
 
-    fn known_in(table: &impl ReadableTable<u8, &'static [u8]>) -> Result<Option<Known>, Refused> {
+    fn snapshot_in(table: &impl ReadableTable<u8, &'static [u8]>) -> Result<Option<Snapshot>, StoreError> {
         let Some(bytes) = table.get(0)? else { return Ok(None) };
         let known = unframe(&[0], bytes.value());
-        known.map(Some).map_err(|e| Refused::found(format!("a snapshot of {e}"), "a sound one"))
+        known.map(Some).map_err(|e| StoreError::found(format!("a snapshot of {e}"), "a sound one"))
     }
 
     /// What the front knew, if it was ever written.
-    pub fn known(&self) -> Result<Option<Known>, Refused> {
-        Self::known_in(&self.database.begin_read()?.open_table(KNOWN)?)
+    pub fn snapshot(&self) -> Result<Option<Snapshot>, StoreError> {
+        Self::snapshot_in(&self.database.begin_read()?.open_table(SNAPSHOT)?)
     }
 
     /// The id of a request by its class and what identifies it.
@@ -406,9 +417,9 @@
 
     /// Does all of a group in one durable commit. Nothing of it may be told before this returns; after an error nothing of
     /// it counts, nor of any later group.
-    pub fn commit(&mut self, ops: &[Op], now: Micros) -> Result<Vec<Done>, Refused> {
+    pub fn commit(&mut self, ops: &[Op], now: Micros) -> Result<Vec<OpResult>, StoreError> {
         if let Some(why) = &self.broken {
-            return Err(Refused::Engine(why.clone()));
+            return Err(StoreError::Engine(why.clone()));
         }
         let done = self.group(ops, now);
         if let Err(e) = &done {
@@ -417,8 +428,8 @@
         done
     }
 
-    fn group(&mut self, ops: &[Op], now: Micros) -> Result<Vec<Done>, Refused> {
-        let now = clock(self.kept, now);
+    fn group(&mut self, ops: &[Op], now: Micros) -> Result<Vec<OpResult>, StoreError> {
+        let now = advance_clock(self.kept, now);
         let mut out = Vec::with_capacity(ops.len());
         let next = Mark { commit: self.last.commit + 1, ..self.last };
         let mut write = self.database.begin_write()?;
@@ -430,40 +441,45 @@
             let mut bytes = meta.get("bytes")?.map_or(0, |v| v.value()) as u64;
             for op in ops {
                 match op {
-                    Op::Begin { id, keep } => {
+                    Op::Begin { id, retention } => {
                         let record = match ledger.get(*id)? {
                             Some(bytes) => Some(Self::read(*id, bytes.value())?),
                             None => None,
                         };
-                        let first_due = due.first()?.map(|d| d.0.value().0);
-                        let room = Room { bytes, most: self.most, first_due };
+                        let first_expiry = due.first()?.map(|d| d.0.value().0);
+                        let room = SpaceUsage { bytes, max_bytes: self.max_bytes, first_expiry };
                         let intent = Record {
                             state: State::Intended,
-                            life: next.life,
-                            until: now.saturating_add(*keep),
+                            incarnation: next.incarnation,
+                            expires_at: now.saturating_add(*retention),
                         };
                         let needs =
                             if record.is_some() { 0 } else { frame(&[], &intent).len() as u64 + BESIDE };
-                        let ruling = rule(record.as_ref(), next.life, now, &room, needs);
-                        if ruling == Ruling::Admit {
+                        let ruling = decide(record.as_ref(), next.incarnation, now, &room, needs);
+                        if ruling == Decision::Admit {
                             put_record(&mut ledger, &mut due, &mut bytes, *id, &intent)?;
                         }
-                        out.push(Done::Ruled(ruling));
+                        out.push(OpResult::Decided(ruling));
                     }
-                    Op::End { id, state, keep } => {
+                    Op::End { id, state, retention } => {
                         let record = match ledger.get(*id)? {
                             Some(bytes) => Some(Self::read(*id, bytes.value())?),
                             None => None,
                         };
-                        let ended = end(record.as_ref(), next.life, state.clone(), now.saturating_add(*keep));
+                        let ended = record_end(
+                            record.as_ref(),
+                            next.incarnation,
+                            state.clone(),
+                            now.saturating_add(*retention),
+                        );
                         if let Some(ended) = ended {
                             put_record(&mut ledger, &mut due, &mut bytes, *id, &ended)?;
                         }
-                        out.push(Done::Noted);
+                        out.push(OpResult::Recorded);
                     }
                     Op::Snapshot(known) => {
-                        write.open_table(KNOWN)?.insert(0, frame(&[0], known).as_slice())?;
-                        out.push(Done::Noted);
+                        write.open_table(SNAPSHOT)?.insert(0, frame(&[0], known).as_slice())?;
+                        out.push(OpResult::Recorded);
                     }
                 }
             }
@@ -473,12 +489,12 @@
                 .take(FORGET_AT_ONCE)
                 .map(|entry| entry.map(|e| e.0.value()))
                 .collect::<Result<_, _>>()?;
-            for (until, id) in over {
+            for (expires_at, id) in over {
                 let framed = ledger.get(id)?.map(|v| v.value().to_vec());
                 let Some(framed) = framed else { continue };
-                if may_forget(&Self::read(id, &framed)?, next.life, now) {
+                if may_expire(&Self::read(id, &framed)?, next.incarnation, now) {
                     ledger.remove(id)?;
-                    due.remove((until, id))?;
+                    due.remove((expires_at, id))?;
                     bytes = bytes.saturating_sub(framed.len() as u64 + BESIDE);
                 }
             }
@@ -487,7 +503,7 @@
                 ("bytes", u128::from(bytes)),
                 ("records", records),
                 ("commit", u128::from(next.commit)),
-                ("life", u128::from(next.life)),
+                ("life", u128::from(next.incarnation)),
                 ("clock", u128::from(now)),
             ] {
                 meta.insert(name, value)?;
@@ -497,14 +513,14 @@
         // Promised only once the witness is durable too.
         match &self.mark {
             Some(mark) => next.write(mark.as_ref())?,
-            None => return Err(Refused::found("a store that is only read", "one that may be written")),
+            None => return Err(StoreError::found("a store that is only read", "one that may be written")),
         }
         (self.last, self.kept) = (next, now);
         Ok(out)
     }
 
     /// Gives back what the ledger's file holds of forgotten records; whether anything was given back.
-    pub fn compact(&mut self) -> Result<bool, Refused> {
+    pub fn compact(&mut self) -> Result<bool, StoreError> {
         Ok(self.database.compact()?)
     }
 
@@ -514,7 +530,7 @@
     }
 
     /// The commit promised last.
-    pub fn last(&self) -> Mark {
+    pub fn last_mark(&self) -> Mark {
         self.last
     }
 }
@@ -528,15 +544,15 @@
     bytes: &mut u64,
     id: u128,
     record: &Record,
-) -> Result<(), Refused> {
+) -> Result<(), StoreError> {
     let framed = frame(&id.to_le_bytes(), record);
     let old = ledger.insert(id, framed.as_slice())?.map(|o| o.value().to_vec());
     *bytes += framed.len() as u64 + BESIDE;
     if let Some(old) = old {
         *bytes = bytes.saturating_sub(old.len() as u64 + BESIDE);
-        due.remove((Store::read(id, &old)?.until, id))?;
+        due.remove((Store::read(id, &old)?.expires_at, id))?;
     }
-    due.insert((record.until, id), ())?;
+    due.insert((record.expires_at, id), ())?;
     Ok(())
 }
 
@@ -550,7 +566,7 @@
 }
 
 /// The end of a request as it is recorded, with an answer kept up to `most` bytes.
-pub fn served(answer: &[u8], most: usize) -> State {
+pub fn served_state(answer: &[u8], most: usize) -> State {
     State::Done(Outcome::Served((answer.len() <= most).then(|| answer.to_vec())))
 }
 
--- a/crates/yarrowspoke-store/tests/journal.rs
+++ b/crates/yarrowspoke-store/tests/journal.rs
@@ -23,9 +23,9 @@
         assert_eq!((again.len(), again.last().unwrap().as_str()), (held.len() + 1, "more"));
     }
     // A byte changed with others behind it is refused, not skipped.
-    let mut spoilt = whole.clone();
-    spoilt[10] ^= 1;
-    std::fs::write(&path, spoilt).unwrap();
+    let mut unreadable = whole.clone();
+    unreadable[10] ^= 1;
+    std::fs::write(&path, unreadable).unwrap();
     assert!(Journal::open::<String>(&path).unwrap_err().to_string().contains("at byte 0"));
     std::fs::remove_file(&path).unwrap();
 }
--- a/crates/yarrowspoke-store/tests/model.rs
+++ b/crates/yarrowspoke-store/tests/model.rs
@@ -2,7 +2,7 @@
 //! within a bound. The rulings are those of the crate; around them stands a front and a disk in small.
 
 use stateright::{Checker, Model, Property};
-use yarrowspoke_store::ledger::{end, rule, Outcome, Record, Room, Ruling, State};
+use yarrowspoke_store::ledger::{decide, record_end, Decision, Outcome, Record, SpaceUsage, State};
 
 /// What a client was told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -36,13 +36,13 @@
     /// What waits for the disk, in order.
     group: Vec<Op>,
     /// What the group came to, once it is durable and nobody has heard of it yet.
-    durable: Option<Vec<Option<Ruling>>>,
+    durable: Option<Vec<Option<Decision>>>,
     fronts: Vec<Front>,
     runs: Vec<u8>,
     told: Vec<Vec<Told>>,
     asks: Vec<u8>,
     crashes: u8,
-    life: u64,
+    incarnation: u64,
     /// A request ran after its client had been told that it had not, and had not asked again.
     broken_promise: bool,
 }
@@ -65,7 +65,7 @@
     early: bool,
 }
 
-const ROOM: Room = Room { bytes: 0, most: u64::MAX, first_due: None };
+const ROOM: SpaceUsage = SpaceUsage { bytes: 0, max_bytes: u64::MAX, first_expiry: None };
 const NOW: u64 = 1;
 const UNTIL: u64 = 1_000;
 
@@ -78,17 +78,23 @@
 }
 
 impl World {
-    fn commit(&mut self, op: &Op) -> Option<Ruling> {
+    fn commit(&mut self, op: &Op) -> Option<Decision> {
         match op {
             Op::Begin(r) => {
-                let ruling = rule(self.disk[*r].as_ref(), self.life, NOW, &ROOM, 1);
-                if ruling == Ruling::Admit {
-                    self.disk[*r] = Some(Record { state: State::Intended, life: self.life, until: UNTIL });
+                let ruling = decide(self.disk[*r].as_ref(), self.incarnation, NOW, &ROOM, 1);
+                if ruling == Decision::Admit {
+                    self.disk[*r] = Some(Record {
+                        state: State::Intended,
+                        incarnation: self.incarnation,
+                        expires_at: UNTIL,
+                    });
                 }
                 Some(ruling)
             }
             Op::End(r, told) => {
-                if let Some(ended) = end(self.disk[*r].as_ref(), self.life, recorded(*told), UNTIL) {
+                if let Some(ended) =
+                    record_end(self.disk[*r].as_ref(), self.incarnation, recorded(*told), UNTIL)
+                {
                     self.disk[*r] = Some(ended);
                 }
                 None
@@ -96,15 +102,15 @@
         }
     }
 
-    fn hear(&mut self, op: Op, ruling: Option<Ruling>, early: bool) {
+    fn hear(&mut self, op: Op, ruling: Option<Decision>, early: bool) {
         match (op, ruling) {
             (Op::Begin(r), Some(ruling)) => {
                 self.fronts[r] = Front::Idle;
                 match ruling {
-                    Ruling::Admit => self.fronts[r] = Front::Sent(false),
-                    Ruling::Again(_) | Ruling::AlreadyDone => self.told[r].push(Told::Served),
-                    Ruling::FailedBefore | Ruling::InDoubt => self.told[r].push(Told::Failed),
-                    Ruling::Open | Ruling::Full(_) => {}
+                    Decision::Admit => self.fronts[r] = Front::Sent(false),
+                    Decision::Replay(_) | Decision::AlreadyDone => self.told[r].push(Told::Served),
+                    Decision::FailedBefore | Decision::InDoubt => self.told[r].push(Told::Failed),
+                    Decision::InProgress | Decision::NoSpace(_) => {}
                 }
             }
             (Op::End(r, told), _) => {
@@ -132,7 +138,7 @@
             told: vec![vec![]; self.requests],
             asks: vec![self.asks; self.requests],
             crashes: self.crashes,
-            life: 1,
+            incarnation: 1,
             broken_promise: false,
         }]
     }
@@ -197,7 +203,7 @@
             Step::Crash => {
                 // What was not durable is gone, and so is all that the front knew.
                 w.crashes -= 1;
-                w.life += 1;
+                w.incarnation += 1;
                 w.group.clear();
                 w.durable = None;
                 w.fronts = vec![Front::Idle; self.requests];
@@ -223,7 +229,7 @@
                 w.fronts.iter().zip(&w.disk).all(|(f, d)| !matches!(f, Front::Sent(_)) || d.is_some())
             }),
             Property::<Self>::sometimes("a request is in doubt", |_, w| {
-                w.disk.iter().flatten().any(|d| d.state == State::Intended && d.life < w.life)
+                w.disk.iter().flatten().any(|d| d.state == State::Intended && d.incarnation < w.incarnation)
             }),
             Property::<Self>::sometimes("a request is served", |_, w| {
                 w.told.iter().any(|t| t.contains(&Told::Served))
--- a/crates/yarrowspoke-store/tests/records.rs
+++ b/crates/yarrowspoke-store/tests/records.rs
@@ -1,17 +1,18 @@
 //! Frames, marks, trust and the rules of the ledger by themselves.
 
 use yarrowspoke_store::ledger::{
-    clock, end, may_forget, rule, Outcome, Record, Room, Ruling, State, SHORTEST_WAIT,
+    advance_clock, decide, may_expire, record_end, Decision, Outcome, Record, SpaceUsage, State,
+    MIN_RETRY_AFTER,
 };
-use yarrowspoke_store::mark::{Mark, Slot, SLOT};
+use yarrowspoke_store::mark::{Mark, Slot, SLOT_BYTES};
 use yarrowspoke_store::record::{frame, unframe, FrameError};
-use yarrowspoke_store::snapshot::{trust, Bounds, Known, Trust};
+use yarrowspoke_store::snapshot::{trust, Snapshot, Trust, TrustBounds};
 use yarrowspoke_store::store::id_of;
 
-const ROOM: Room = Room { bytes: 0, most: 1_000, first_due: None };
+const ROOM: SpaceUsage = SpaceUsage { bytes: 0, max_bytes: 1_000, first_expiry: None };
 
-fn record(state: State, life: u64, until: u64) -> Record {
-    Record { state, life, until }
+fn record(state: State, incarnation: u64, expires_at: u64) -> Record {
+    Record { state, incarnation, expires_at }
 }
 
 #[test]
@@ -32,54 +33,54 @@
 
 #[test]
 fn each_byte_of_a_mark_is_guarded_and_another_format_is_named() {
-    let mark = Mark { commit: 9, life: 2, id: 0xabc };
+    let mark = Mark { commit: 9, incarnation: 2, id: 0xabc };
     let whole = mark.encode();
-    assert_eq!(Mark::decode(&whole), Slot::Good(mark));
+    assert_eq!(Mark::decode(&whole), Slot::Valid(mark));
     for at in 0..44 {
         let mut flipped = whole;
         flipped[at] ^= 1;
         assert_eq!(Mark::decode(&flipped), Slot::Empty, "byte {at}");
     }
-    let mut other: [u8; SLOT] = whole;
+    let mut other: [u8; SLOT_BYTES] = whole;
     other[4] = 2;
     let crc = crc32fast::hash(&other[..40]);
     other[40..44].copy_from_slice(&crc.to_le_bytes());
-    assert_eq!(Mark::decode(&other), Slot::Alien(2));
+    assert_eq!(Mark::decode(&other), Slot::OtherFormat(2));
 }
 
 #[test]
 fn what_comes_again_is_ruled_by_where_it_stands() {
     let served = |body: Option<&[u8]>| State::Done(Outcome::Served(body.map(<[u8]>::to_vec)));
-    for (state, life, ruling) in [
-        (State::NotRun, 1, Ruling::Admit),
-        (State::NotRun, 2, Ruling::Admit),
-        (State::Intended, 1, Ruling::InDoubt),
-        (State::Intended, 2, Ruling::Open),
-        (State::Done(Outcome::Failed), 1, Ruling::FailedBefore),
-        (served(None), 2, Ruling::AlreadyDone),
-        (served(Some(b"x")), 1, Ruling::Again(b"x".to_vec())),
+    for (state, incarnation, ruling) in [
+        (State::NotRun, 1, Decision::Admit),
+        (State::NotRun, 2, Decision::Admit),
+        (State::Intended, 1, Decision::InDoubt),
+        (State::Intended, 2, Decision::InProgress),
+        (State::Done(Outcome::Failed), 1, Decision::FailedBefore),
+        (served(None), 2, Decision::AlreadyDone),
+        (served(Some(b"x")), 1, Decision::Replay(b"x".to_vec())),
     ] {
-        let r = record(state, life, 100);
-        assert_eq!(rule(Some(&r), 2, 50, &ROOM, 10), ruling, "{r:?}");
+        let r = record(state, incarnation, 100);
+        assert_eq!(decide(Some(&r), 2, 50, &ROOM, 10), ruling, "{r:?}");
         // Once its time is over it counts as new, unless it is open in this very life.
-        let later = if ruling == Ruling::Open { Ruling::Open } else { Ruling::Admit };
-        assert_eq!(rule(Some(&r), 2, 100, &ROOM, 10), later, "{r:?}");
-        assert_eq!(may_forget(&r, 2, 100), ruling != Ruling::Open);
-        assert!(!may_forget(&r, 2, 99));
+        let later = if ruling == Decision::InProgress { Decision::InProgress } else { Decision::Admit };
+        assert_eq!(decide(Some(&r), 2, 100, &ROOM, 10), later, "{r:?}");
+        assert_eq!(may_expire(&r, 2, 100), ruling != Decision::InProgress);
+        assert!(!may_expire(&r, 2, 99));
     }
 }
 
 #[test]
 fn without_room_a_new_one_waits_until_something_is_due() {
-    let full = Room { bytes: 995, most: 1_000, first_due: Some(900_000) };
-    assert_eq!(rule(None, 1, 500_000, &full, 10), Ruling::Full(400_000));
-    assert_eq!(rule(None, 1, 899_999, &full, 10), Ruling::Full(SHORTEST_WAIT));
-    assert_eq!(rule(None, 1, 0, &full, 5), Ruling::Admit);
+    let full = SpaceUsage { bytes: 995, max_bytes: 1_000, first_expiry: Some(900_000) };
+    assert_eq!(decide(None, 1, 500_000, &full, 10), Decision::NoSpace(400_000));
+    assert_eq!(decide(None, 1, 899_999, &full, 10), Decision::NoSpace(MIN_RETRY_AFTER));
+    assert_eq!(decide(None, 1, 0, &full, 5), Decision::Admit);
 }
 
 #[test]
 fn an_end_counts_only_over_an_intent_of_this_life() {
-    let ends = |r: Option<Record>| end(r.as_ref(), 2, State::NotRun, 9).is_some();
+    let ends = |r: Option<Record>| record_end(r.as_ref(), 2, State::NotRun, 9).is_some();
     assert!(ends(Some(record(State::Intended, 2, 5))));
     assert!(!ends(Some(record(State::Intended, 1, 5))), "a doubt of an earlier life stays one");
     assert!(!ends(Some(record(State::Done(Outcome::Failed), 2, 5))) && !ends(None));
@@ -87,7 +88,7 @@
 
 #[test]
 fn the_clock_never_goes_back() {
-    assert_eq!((clock(5, 3), clock(3, 5)), (5, 5));
+    assert_eq!((advance_clock(5, 3), advance_clock(3, 5)), (5, 5));
 }
 
 #[test]
@@ -101,8 +102,8 @@
 
 #[test]
 fn trust_falls_with_age_and_what_is_not_ours_has_none() {
-    let bounds = Bounds { fresh: 10, stale: 110, ahead: 2 };
-    let known = Known { at: 1_000, deployment: "d".into(), index: 4, ..Known::default() };
+    let bounds = TrustBounds { full_trust_age: 10, no_trust_age: 110, max_clock_skew: 2 };
+    let known = Snapshot { written_at: 1_000, deployment: "d".into(), index: 4, ..Snapshot::default() };
     let told = |now, deployment: &str, index| trust(&known, now, deployment, index, &bounds);
     assert_eq!(told(1_010, "d", 4), Trust::Full);
     assert_eq!(told(1_060, "d", 4), Trust::Part(0.5));
