--- a/crates/yarrowspoke-store/src/disk.rs
+++ b/crates/yarrowspoke-store/src/disk.rs
@@ -1,4 +1,5 @@
-//! All that the store asks of a disk, so that a stand-in can fail, tear and cut in its place.
+//! The store's interface to the disk. Tests replace it with an implementation that injects failures, torn writes and
+//! truncated files.
 
 use std::fmt::Debug;
 use std::fs::{File, OpenOptions, TryLockError};
@@ -6,37 +7,37 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// One file.
+/// A file.
 pub trait DiskFile: Debug + Send + Sync + 'static {
-    /// Its length in bytes.
+    /// Returns the length in bytes.
     fn len(&self) -> io::Result<u64>;
-    /// Whether it holds nothing.
+    /// Returns whether the file is empty.
     fn is_empty(&self) -> io::Result<bool> {
         Ok(self.len()? == 0)
     }
-    /// Reads exactly so many bytes.
+    /// Fills `out` with the bytes at `offset`; fails if there are fewer.
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()>;
-    /// Writes; durable only once synced.
+    /// Writes `data` at `offset`. It is durable only after [`DiskFile::sync`].
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()>;
-    /// Cuts it or fills it up with zeros.
+    /// Truncates the file or extends it with zeros.
     fn set_len(&self, len: u64) -> io::Result<()>;
-    /// Makes what was written durable.
+    /// Makes all earlier writes durable.
     fn sync(&self) -> io::Result<()>;
 }
 
 /// A directory.
 pub trait Disk: Debug + Send + Sync {
-    /// Opens a file, made if it is not there.
+    /// Opens a file, creating it if it does not exist.
     fn open(&self, name: &str) -> io::Result<Arc<dyn DiskFile>>;
-    /// Whether there is a file of this name.
+    /// Returns whether a file of this name exists.
     fn exists(&self, name: &str) -> io::Result<bool>;
-    /// Renames a file over another, durably.
+    /// Renames a file durably, replacing any file of the new name.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
 }
 
-/// A directory of the system, locked for as long as this lives.
+/// A directory of the file system, locked until this value is dropped.
 #[derive(Debug)]
 pub struct Dir {
     path: PathBuf,
@@ -44,27 +45,28 @@
 }
 
 impl Dir {
-    /// Opens a directory and takes its lock; an error names the path.
+    /// Opens a directory and acquires its lock. Errors contain the path.
     pub fn open(path: &Path) -> io::Result<Self> {
-        let named = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", path.display()));
+        let with_path = |e: io::Error| io::Error::new(e.kind(), format!("{}: {e}", path.display()));
         if !path.is_dir() {
-            let e = io::Error::new(io::ErrorKind::NotFound, "no such directory; it is not made by itself");
-            return Err(named(e));
+            let e =
+                io::Error::new(io::ErrorKind::NotFound, "no such directory; it is not created automatically");
+            return Err(with_path(e));
         }
         let options =
             OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path.join("lock"));
-        let lock = options.map_err(named)?;
+        let lock = options.map_err(with_path)?;
         match lock.try_lock() {
             Ok(()) => Ok(Self { path: path.to_owned(), _lock: lock }),
             Err(TryLockError::WouldBlock) => {
-                let e = "its lock is held: another front or command has it open, and one directory is one front's";
-                Err(named(io::Error::new(io::ErrorKind::ResourceBusy, e)))
+                let e = "its lock is held: another front or command has the directory open, and each front needs its own";
+                Err(with_path(io::Error::new(io::ErrorKind::ResourceBusy, e)))
             }
-            Err(TryLockError::Error(e)) => Err(named(e)),
+            Err(TryLockError::Error(e)) => Err(with_path(e)),
         }
     }
 
-    fn sync_self(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 }
@@ -72,12 +74,12 @@
 impl Disk for Dir {
     fn open(&self, name: &str) -> io::Result<Arc<dyn DiskFile>> {
         let path = self.path.join(name);
-        let fresh = !path.exists();
+        let is_new = !path.exists();
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(false).open(path)?;
-        if fresh {
-            self.sync_self()?;
+        if is_new {
+            self.sync_directory()?;
         }
-        Ok(Arc::new(RealFile { file: Mutex::new(file) }))
+        Ok(Arc::new(OsFile { file: Mutex::new(file) }))
     }
 
     fn exists(&self, name: &str) -> io::Result<bool> {
@@ -86,39 +88,39 @@
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         std::fs::rename(self.path.join(from), self.path.join(to))?;
-        self.sync_self()
+        self.sync_directory()
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
         std::fs::remove_file(self.path.join(name))?;
-        self.sync_self()
+        self.sync_directory()
     }
 }
 
 #[derive(Debug)]
-struct RealFile {
+struct OsFile {
     file: Mutex<File>,
 }
 
-impl RealFile {
-    fn at<T>(&self, offset: u64, work: impl FnOnce(&mut File) -> io::Result<T>) -> io::Result<T> {
+impl OsFile {
+    fn seek_then<T>(&self, offset: u64, action: impl FnOnce(&mut File) -> io::Result<T>) -> io::Result<T> {
         let mut file = self.file.lock().unwrap_or_else(PoisonError::into_inner);
         file.seek(SeekFrom::Start(offset))?;
-        work(&mut file)
+        action(&mut file)
     }
 }
 
-impl DiskFile for RealFile {
+impl DiskFile for OsFile {
     fn len(&self) -> io::Result<u64> {
         Ok(self.file.lock().unwrap_or_else(PoisonError::into_inner).metadata()?.len())
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        self.at(offset, |f| f.read_exact(out))
+        self.seek_then(offset, |f| f.read_exact(out))
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.at(offset, |f| f.write_all(data))
+        self.seek_then(offset, |f| f.write_all(data))
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
--- a/crates/yarrowspoke-store/src/ledger.rs
+++ b/crates/yarrowspoke-store/src/ledger.rs
@@ -1,14 +1,14 @@
-//! What a record means for a request that comes again, how long it is kept, and what happens at the bound. This module
-//! alone decides that; it does no I/O and reads no clock.
+//! Decides what a record means for a repeated request, how long a record is kept, and what happens when the ledger is full.
+//! No other module decides this. It performs no I/O and reads no clock.
 //!
-//! A request that may not run again passes through these states, each durable before anybody may go by it:
+//! A request that must not run twice passes through these states. Each is durable before anything depends on it:
 //!
-//! - *intended*, before its first byte goes to a machine;
-//! - *done*, before its client has the final answer: served, or failed without a promise;
-//! - *not run*, before its client is told that trying again is harmless.
+//! - *intended*, before its first byte is sent to a machine;
+//! - *done*, before its client receives the final answer: served, or failed without a statement on whether it ran;
+//! - *not run*, before its client is informed that a retry is safe.
 //!
-//! Danger: between *intended* and its end a front may die. Whether the request ran is then unknown for ever: it is **in
-//! doubt**, is failed at once when it comes again, and is never sent.
+//! A front may crash between *intended* and the end of the request. Whether the request ran then stays unknown for good: it
+//! is **in doubt**. It fails at once when it is repeated and is never sent.
 
 use serde::{Deserialize, Serialize};
 
@@ -18,16 +18,16 @@
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Served, with the answer's body where it is kept.
+    /// Served, with the body of the answer if it is stored.
     Served(Option<Vec<u8>>),
-    /// Failed; it may have run.
+    /// Failed; the request may have run.
     Failed,
 }
 
-/// Where a request stands.
+/// State of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// It may be on its way to a machine.
+    /// It may have been sent to a machine.
     Intended,
     /// It has its final answer.
     Done(Outcome),
@@ -38,76 +38,79 @@
 /// A record of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Record {
-    /// Where the request stands.
+    /// State of the request.
     pub state: State,
-    /// The life of the store in which it was written.
+    /// Incarnation of the store that wrote the record.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Kept until then.
+    /// Time until which the record is kept.
     #[serde(rename = "until")]
     pub expires_at: Micros,
 }
 
-/// What becomes of a request that comes.
+/// What happens to a request that arrives.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Decision {
-    /// It may go, once its intent is durable.
+    /// It may be sent once its intent is durable.
     Admit,
-    /// It is answered as it was before.
+    /// It gets the same answer as before.
     Replay(Vec<u8>),
-    /// It ran and its answer is not kept: it is turned away as done, which is no leave to try again.
+    /// It ran and its answer is not stored. It is rejected as done, which is not a permission to retry.
     AlreadyDone,
-    /// It failed before, and may have run: it fails again.
+    /// It failed before and may have run, so it fails again.
     FailedBefore,
-    /// Its end is not known: it fails, and is never sent.
+    /// Its outcome is unknown, so it fails and is never sent.
     InDoubt,
-    /// It is open in this very life: two answers to one request would be taken for each other.
+    /// It is in progress in this incarnation. Two answers to one request could be mistaken for each other.
     InProgress,
-    /// There is no room to remember it: refused, to come back after so long.
+    /// The ledger has no space for it. It is refused and may be retried after this time.
     NoSpace(Micros),
 }
 
-/// What the ledger holds, as far as it decides about the next request.
+/// The ledger's use of space, as far as it matters for the next request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SpaceUsage {
     /// Bytes of all records.
     pub bytes: u64,
-    /// Most bytes.
+    /// Maximum bytes of all records.
     pub max_bytes: u64,
-    /// When the record that is due first may be forgotten; `None` if there is none.
+    /// Time at which the first record expires; `None` if there is no record.
     pub first_expiry: Option<Micros>,
 }
 
-/// Rules on a request that comes at `now`, by its record if there is one.
+/// Decides on a request that arrives at `now`, from its record if there is one.
 pub fn decide(
     record: Option<&Record>,
     incarnation: u64,
     now: Micros,
-    room: &SpaceUsage,
+    space: &SpaceUsage,
     required: u64,
 ) -> Decision {
-    let fresh = || {
-        // Danger: room made by forgetting a record too soon lets its request run twice. So the new one waits.
-        if room.bytes + required > room.max_bytes {
-            let wait = room.first_expiry.map_or(MIN_RETRY_AFTER, |due| due.saturating_sub(now));
+    let decide_new = || {
+        // If space were made by deleting a record early, the request of that record could run twice. The new request has to
+        // wait instead.
+        if space.bytes + required > space.max_bytes {
+            let wait = space.first_expiry.map_or(MIN_RETRY_AFTER, |expiry| expiry.saturating_sub(now));
             Decision::NoSpace(wait.max(MIN_RETRY_AFTER))
         } else {
             Decision::Admit
         }
     };
     match record {
-        None => fresh(),
-        Some(r) if r.expires_at <= now && r.state != State::Intended => fresh(),
-        Some(Record { state: State::NotRun, .. }) => fresh(),
+        None => decide_new(),
+        Some(r) if r.expires_at <= now && r.state != State::Intended => decide_new(),
+        Some(Record { state: State::NotRun, .. }) => decide_new(),
         Some(Record { state: State::Done(Outcome::Served(Some(body))), .. }) => {
             Decision::Replay(body.clone())
         }
         Some(Record { state: State::Done(Outcome::Served(None)), .. }) => Decision::AlreadyDone,
         Some(Record { state: State::Done(Outcome::Failed), .. }) => Decision::FailedBefore,
-        Some(Record { state: State::Intended, incarnation: of, expires_at }) if *of < incarnation => {
-            // An intent of an earlier life is kept like an end.
+        Some(Record { state: State::Intended, incarnation: recorded_in, expires_at })
+            if *recorded_in < incarnation =>
+        {
+            // The intent of an earlier incarnation is kept for as long as the record of a finished request.
             if *expires_at <= now {
-                fresh()
+                decide_new()
             } else {
                 Decision::InDoubt
             }
@@ -116,23 +119,24 @@
     }
 }
 
-/// Least time to come back when there is no room.
+/// Minimum time after which a request may be retried when there is no space.
 pub const MIN_RETRY_AFTER: Micros = 100_000;
 
-/// Whether a record may be forgotten at `now`: never an open one of this life.
+/// Returns whether a record may be deleted at `now`. The record of a request in progress in this incarnation never is.
 pub fn may_expire(record: &Record, incarnation: u64, now: Micros) -> bool {
     record.expires_at <= now && !(record.state == State::Intended && record.incarnation == incarnation)
 }
 
-/// The store's clock: it never goes back, also over restarts.
+/// Returns the time of the store's clock, which never goes back, not even across restarts.
 ///
-/// Danger: with the system's clock set back, records written before would be kept for an hour too long, which is
-/// harmless; were it followed back, new ones would be forgotten too soon.
-pub fn advance_clock(kept: Micros, system: Micros) -> Micros {
-    kept.max(system)
+/// If the system clock is set back, records written before are kept too long, by an hour for instance, which is harmless.
+/// If the store followed the system clock back, new records would be deleted too early.
+pub fn advance_clock(stored: Micros, system: Micros) -> Micros {
+    stored.max(system)
 }
 
-/// The end that is recorded over `record`; `None` if there is nothing to end, as the intent was never admitted.
+/// Returns the record that replaces `record` when the request ends; `None` if the intent was never admitted and so nothing
+/// can end.
 pub fn record_end(
     record: Option<&Record>,
     incarnation: u64,
@@ -140,7 +144,9 @@
     expires_at: Micros,
 ) -> Option<Record> {
     match record {
-        Some(Record { state: State::Intended, incarnation: of, .. }) if *of == incarnation => {
+        Some(Record { state: State::Intended, incarnation: recorded_in, .. })
+            if *recorded_in == incarnation =>
+        {
             Some(Record { state, incarnation, expires_at })
         }
         _ => None,
--- a/crates/yarrowspoke-store/src/lib.rs
+++ b/crates/yarrowspoke-store/src/lib.rs
@@ -1,9 +1,10 @@
-//! What outlasts a restart of a front.
+//! Storage that survives a restart of a front.
 //!
-//! [`ledger`] alone decides what a record means for a request that comes again, how long it is kept and what happens at
-//! the bound; [`snapshot`] how far what a front once knew is trusted. Both are free of I/O. [`store`] keeps the records on
-//! an embedded engine (redb), [`disk`] is all that it asks of a disk, [`mark`] is the witness of what was promised, and
-//! [`writer`] commits in groups on a thread of its own. The files are described in `docs/design/store-format.md`.
+//! [`ledger`] alone decides what a record means for a repeated request, how long the record is kept and what happens when
+//! the ledger is full. [`snapshot`] decides how far stored state is trusted. Both are free of I/O. [`store`] keeps the
+//! records in an embedded database (redb), [`disk`] is the only interface to the disk, [`mark`] records the last
+//! acknowledged commit apart from the database, and [`writer`] commits in groups on its own thread. The files are described
+//! in `docs/design/store-format.md`.
 
 pub mod disk;
 pub mod journal;
--- a/crates/yarrowspoke-store/src/mark.rs
+++ b/crates/yarrowspoke-store/src/mark.rs
@@ -1,43 +1,43 @@
-//! The witness of what was promised: the last commit, in two slots written in turn.
+//! The last acknowledged commit, kept in a file apart from the database, in two slots that are written in turn.
 //!
-//! Danger: an engine whose newest header is damaged falls back to the commit before, and nothing in its file tells that a
-//! later one was promised to a client. The mark does.
+//! A database engine whose newest header is damaged falls back to the previous commit, and nothing in its file shows that a
+//! later commit was acknowledged to a client. The mark shows it.
 
 use crate::disk::DiskFile;
 use std::io;
 
-/// Bytes of a slot.
+/// Size of a slot in bytes.
 pub const SLOT_BYTES: usize = 48;
-/// Where the slots begin: far enough apart that one torn sector is one slot.
+/// Offsets of the slots, far enough apart that a torn sector damages one slot only.
 pub const OFFSETS: [u64; 2] = [0, 512];
-/// The format of mark and ledger.
+/// Format version of the mark and the ledger.
 pub const FORMAT: u16 = 1;
 const MAGIC: &[u8; 4] = b"YSMK";
 
-/// A mark.
+/// Identifies a commit of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Mark {
-    /// The commit promised last.
+    /// Number of the last acknowledged commit.
     pub commit: u64,
-    /// The life in which it was.
+    /// Incarnation of the store that made the commit.
     pub incarnation: u64,
-    /// The store's id.
+    /// Id of the store.
     pub id: u128,
 }
 
-/// What a slot holds.
+/// Contents of a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Slot {
-    /// Nothing that can be read.
+    /// No readable mark.
     Empty,
-    /// A mark of another format.
+    /// A mark of another format version.
     OtherFormat(u16),
-    /// A mark.
+    /// A valid mark.
     Valid(Mark),
 }
 
 impl Mark {
-    /// The bytes of a slot.
+    /// Encodes the mark as the bytes of a slot.
     pub fn encode(&self) -> [u8; SLOT_BYTES] {
         let mut out = [0; SLOT_BYTES];
         out[..4].copy_from_slice(MAGIC);
@@ -50,7 +50,7 @@
         out
     }
 
-    /// Reads a slot.
+    /// Decodes the bytes of a slot.
     pub fn decode(bytes: &[u8; SLOT_BYTES]) -> Slot {
         let number = |from: usize| u64::from_le_bytes(std::array::from_fn(|n| bytes[from + n]));
         let crc = u32::from_le_bytes(std::array::from_fn(|n| bytes[40 + n]));
@@ -65,7 +65,7 @@
         Slot::Valid(Mark { commit: number(32), incarnation: number(24), id })
     }
 
-    /// Reads both slots of a file, of whatever length.
+    /// Reads both slots of a file of any length.
     pub fn read(file: &dyn DiskFile) -> io::Result<[Slot; 2]> {
         let len = file.len()?;
         let mut out = [Slot::Empty; 2];
@@ -79,7 +79,7 @@
         Ok(out)
     }
 
-    /// Writes it durably into the slot that is its turn.
+    /// Writes the mark durably; the commit number alternates between the two slots.
     pub fn write(&self, file: &dyn DiskFile) -> io::Result<()> {
         let offset = OFFSETS[(self.commit % 2) as usize];
         file.write(offset, &self.encode())?;
--- a/crates/yarrowspoke-store/src/record.rs
+++ b/crates/yarrowspoke-store/src/record.rs
@@ -1,30 +1,30 @@
-//! Frames: a version, a checksum over key and content, the content in postcard.
+//! Frames of stored values: a version, a checksum over key and content, and the content in postcard encoding.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use thiserror::Error;
 
-/// The version written.
+/// Version of the frames that are written.
 pub const VERSION: u8 = 1;
 
 /// Why a frame cannot be read.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum FrameError {
-    /// It is shorter than any frame.
+    /// The frame is shorter than its header.
     #[error("{0} bytes, expected 5 at least")]
     Short(usize),
-    /// It is of another version.
+    /// The frame has another version.
     #[error("version {0}, expected {VERSION}")]
     Version(u8),
-    /// Its checksum fails.
+    /// The checksum does not match.
     #[error("checksum {found:08x}, expected {expected:08x}")]
     Checksum {
-        /// What stands there.
+        /// The checksum in the frame.
         found: u32,
-        /// What the content comes to.
+        /// The checksum of the content.
         expected: u32,
     },
-    /// Its content is none.
+    /// The content is not a value of the expected type.
     #[error("content that cannot be read: {0}")]
     Content(String),
 }
@@ -37,7 +37,7 @@
     crc.finalize()
 }
 
-/// A value's frame under its key.
+/// Encodes a value as a frame that is only valid under this key.
 pub fn frame<T: Serialize>(key: &[u8], value: &T) -> Vec<u8> {
     let content = postcard::to_stdvec(value).unwrap_or_default();
     let mut out = Vec::with_capacity(content.len() + 5);
@@ -47,7 +47,7 @@
     out
 }
 
-/// The value in a frame.
+/// Decodes the value of a frame stored under this key.
 pub fn unframe<T: DeserializeOwned>(key: &[u8], bytes: &[u8]) -> Result<T, FrameError> {
     let (version, found, content) = match bytes {
         [version, a, b, c, d, content @ ..] => (*version, u32::from_le_bytes([*a, *b, *c, *d]), content),
--- a/crates/yarrowspoke-store/src/snapshot.rs
+++ b/crates/yarrowspoke-store/src/snapshot.rs
@@ -1,91 +1,93 @@
-//! What a front knew, kept as one consistent state, and how far it is trusted when it is read back. Deciding that is a
-//! pure function here; what a machine of such a list may get is for those who start without the roster.
+//! The state of a front, stored as one consistent snapshot, and how far it is trusted when it is read back. The trust
+//! decision is a pure function here. How much traffic a machine of such a list may receive is decided by the code that
+//! starts without a current list.
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds of the system's clock.
+/// Microseconds of the system clock.
 pub type Micros = u64;
 
-/// What a front knew.
+/// The stored state of a front.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// When it was written.
+    /// When the snapshot was written.
     #[serde(rename = "at")]
     pub written_at: Micros,
-    /// Names that the list goes by, so that another deployment's is known as such.
+    /// Names that the list refers to, by which a snapshot of another deployment is recognised.
     pub deployment: String,
-    /// The list's version.
+    /// Version of the list.
     pub index: u64,
-    /// The list.
+    /// Machines of the list.
     #[serde(rename = "lines")]
     pub machines: Vec<MachineRecord>,
-    /// The newest build's state, if any was told.
+    /// Rollout status of the newest build, if any was received.
     #[serde(rename = "news")]
     pub rollout_status: Option<RolloutStatus>,
 }
 
-/// A machine, by names, as numbers hold for one deployment only.
+/// A machine of the list. Zone and kind are stored by name, since their numbers are valid within one deployment only.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Its number.
+    /// Number of the machine.
     pub machine: u32,
-    /// Where it listens; empty if not known.
+    /// Address on which it listens; empty if unknown.
     pub address: String,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
-    /// Its kind.
+    /// Name of its kind.
     pub kind: String,
-    /// The build that it runs.
+    /// Build that it runs.
     pub build: u16,
-    /// Its cell.
+    /// Number of its cell.
     pub cell: u16,
-    /// It takes work.
+    /// Whether it accepts requests.
     pub ready: bool,
-    /// Its size.
+    /// Relative capacity.
     pub weight: f64,
     /// When it started, in microseconds; 0 = long ago.
     #[serde(rename = "started")]
     pub started_at: Micros,
 }
 
-/// The newest build's state.
+/// Rollout status of the newest build.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RolloutStatus {
     /// The build.
     pub build: u16,
-    /// Its stage.
+    /// Stage of its rollout.
     pub stage: u8,
-    /// Its phase: 0 on trial, 1 going back, 2 released, 3 withdrawn.
+    /// Phase: 0 on trial, 1 rolling back, 2 released, 3 withdrawn.
     pub phase: u8,
-    /// The cap.
+    /// Exposure cap.
     pub cap: f64,
-    /// When it came to stand so.
+    /// Since when this status has been in force.
     pub since: Micros,
 }
 
-/// TrustBounds of trust.
+/// Limits that decide how far a snapshot is trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TrustBounds {
-    /// A list is as good as told up to this age.
+    /// Maximum age at which a list is trusted like one just received.
     pub full_trust_age: Micros,
-    /// And of no use from this age.
+    /// Age from which a list is not used.
     pub no_trust_age: Micros,
-    /// A clock may be ahead of another by so much.
+    /// Maximum difference between two clocks.
     pub max_clock_skew: Micros,
 }
 
 /// How far a snapshot is trusted.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Trust {
-    /// As if it had been told just now.
+    /// As if it had just been received.
     Full,
-    /// From 1 just past fresh to 0 at stale.
+    /// Partly: from 1 just above `full_trust_age` down to 0 at `no_trust_age`.
     Part(f64),
-    /// Not at all, and why.
+    /// Not at all, for this reason.
     None(String),
 }
 
-/// How far a snapshot is trusted at `now`, in the deployment of this name, beside a configured list of version `index`.
+/// Returns how far a snapshot is trusted at `now` in the deployment of this name, compared with a configured list of
+/// version `index`.
 pub fn trust(snapshot: &Snapshot, now: Micros, deployment: &str, index: u64, bounds: &TrustBounds) -> Trust {
     if snapshot.deployment != deployment {
         return Trust::None(format!("of deployment {:?}, this is {deployment:?}", snapshot.deployment));
