--- a/crates/yarrowspoke-expr/src/bounds.rs
+++ b/crates/yarrowspoke-expr/src/bounds.rs
@@ -5,48 +5,48 @@
 //! sizes of its inputs, so that the price at the largest sizes bounds the price at any.
 
 /// Bytes that are compared or copied in one step.
-pub const CHUNK: usize = 8;
+pub const CHUNK_BYTES: usize = 8;
 /// Most bytes of a name in the settings that rules may compare.
-pub const NAME_MOST: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// Most bytes of a method.
-pub const METHOD_MOST: usize = 32;
+pub const MAX_METHOD_BYTES: usize = 32;
 /// Most bytes of a string that an expression builds.
-pub const BUILT_MOST: usize = 4_096;
+pub const MAX_BUILT_BYTES: usize = 4_096;
 /// Path segments that may be taken by their number.
-pub const SEGMENTS_MOST: usize = 32;
+pub const MAX_SEGMENTS: usize = 32;
 /// Most bytes of a text read as a number.
-pub const DIGITS_MOST: usize = 20;
+pub const MAX_INT_BYTES: usize = 20;
 /// Most bytes of a regular expression.
-pub const PATTERN_MOST: usize = 1_024;
+pub const MAX_PATTERN_BYTES: usize = 1_024;
 /// Most bytes of the automaton of one regular expression.
-pub const AUTOMATON_MOST: usize = 64 * 1024;
+pub const MAX_AUTOMATON_BYTES: usize = 64 * 1024;
 /// Most bytes that the making of one automaton may take.
-pub const MAKING_MOST: usize = 512 * 1024;
+pub const MAX_AUTOMATON_BUILD_BYTES: usize = 512 * 1024;
 /// Most rules of a set.
-pub const RULES_MOST: usize = 20_000;
+pub const MAX_RULES: usize = 20_000;
 
 /// Bounds of one set of rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
     /// Most bytes of a request's path and query together.
-    pub target: usize,
+    pub max_target_bytes: usize,
     /// Most bytes of a header that rules read.
-    pub header: usize,
+    pub max_header_bytes: usize,
     /// Most steps that a request may cost.
-    pub steps: u64,
+    pub max_steps: u64,
     /// Most bytes that the compiled set may take.
-    pub bytes: usize,
+    pub max_bytes: usize,
 }
 
 impl Default for Bounds {
     fn default() -> Self {
-        Self { target: 1_024, header: 256, steps: 10_000, bytes: 8 * 1024 * 1024 }
+        Self { max_target_bytes: 1_024, max_header_bytes: 256, max_steps: 10_000, max_bytes: 8 * 1024 * 1024 }
     }
 }
 
 /// Steps for bytes taken in chunks.
 pub fn chunks(bytes: usize) -> u64 {
-    bytes.div_ceil(CHUNK) as u64
+    bytes.div_ceil(CHUNK_BYTES) as u64
 }
 
 /// Steps for a comparison of texts of such lengths: no more is read than the shorter one has.
--- a/crates/yarrowspoke-expr/src/buckets.rs
+++ b/crates/yarrowspoke-expr/src/buckets.rs
@@ -33,14 +33,14 @@
     left: f64,
     at: Micros,
     /// Requests turned away since one was last let through.
-    turned: f64,
+    rejected: f64,
     rate: f64,
     burst: f64,
 }
 
 impl Bucket {
     fn new(now: Micros, limit: &Limit) -> Self {
-        Self { left: limit.burst, at: now, turned: 0.0, rate: limit.rate, burst: limit.burst }
+        Self { left: limit.burst, at: now, rejected: 0.0, rate: limit.rate, burst: limit.burst }
     }
 
     /// Tokens at a later time. Time that goes backwards brings none.
@@ -62,8 +62,8 @@
     /// Time until a token is there for one more than were turned away. Danger: all that are told the same time come back
     /// together; so each is told a time by which the rate has served those before it.
     fn wait(&mut self) -> Micros {
-        let missing = (1.0 + self.turned - self.left).max(0.0);
-        self.turned += 1.0;
+        let missing = (1.0 + self.rejected - self.left).max(0.0);
+        self.rejected += 1.0;
         (missing / self.rate * 1e6).min(1e15) as Micros
     }
 }
@@ -78,11 +78,11 @@
 
 /// Counts of what the table did.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct BucketCounts {
     /// Requests let through.
-    pub passed: u64,
+    pub admitted: u64,
     /// Requests turned away.
-    pub turned: u64,
+    pub rejected: u64,
     /// Requests that drew on a shared bucket.
     pub shared: u64,
 }
@@ -94,7 +94,7 @@
     shared: HashMap<u64, Bucket>,
     most: usize,
     /// What was done since it was last asked.
-    pub counts: Counts,
+    pub counts: BucketCounts,
 }
 
 impl Buckets {
@@ -106,7 +106,7 @@
             fresh: LruCache::new(half),
             shared: HashMap::new(),
             most: half.get(),
-            counts: Counts::default(),
+            counts: BucketCounts::default(),
         }
     }
 
@@ -126,16 +126,16 @@
             }
         }
         if let Some(wait) = wait {
-            self.counts.turned += 1;
+            self.counts.rejected += 1;
             return Err(wait);
         }
         for (limit, key) in wanted {
             let bucket = self.find(now, limit, *key);
             // Two limits of one request may share a bucket that has a single token left: it then goes below 0.
             bucket.left -= 1.0;
-            bucket.turned = (bucket.turned - 1.0).max(0.0);
+            bucket.rejected = (bucket.rejected - 1.0).max(0.0);
         }
-        self.counts.passed += 1;
+        self.counts.admitted += 1;
         Ok(())
     }
 
@@ -156,7 +156,7 @@
         };
         bucket.refill(now, limit);
         if bucket.left >= bucket.burst {
-            bucket.turned = 0.0;
+            bucket.rejected = 0.0;
         }
         bucket
     }
@@ -195,7 +195,7 @@
     }
 
     /// Forgets the shared buckets of rules that are no more.
-    pub fn keep_rules(&mut self, rules: impl Fn(u64) -> bool) {
+    pub fn retain_rules(&mut self, rules: impl Fn(u64) -> bool) {
         self.shared.retain(|rule, _| rules(*rule));
     }
 }
--- a/crates/yarrowspoke-expr/src/check.rs
+++ b/crates/yarrowspoke-expr/src/check.rs
@@ -1,6 +1,6 @@
 //! From the syntax tree to typed terms; what has no type, or no bound, is refused.
 
-use crate::bounds::{BUILT_MOST, SEGMENTS_MOST};
+use crate::bounds::{MAX_BUILT_BYTES, MAX_SEGMENTS};
 use crate::regexes::Regexes;
 use crate::syntax::{Binary, Expr, Fault, Kind, Span, Unary};
 use crate::terms::{Affix, Basic, Const, Math, Pool, Term, TermId, Type, DURATION, FIELDS, INT, TEXT};
@@ -29,7 +29,7 @@
     /// Where regular expressions go.
     pub regexes: &'a mut Regexes,
     /// The dearest operation met, and where it stands.
-    pub dearest: (u64, Span),
+    pub costliest: (u64, Span),
 }
 
 impl Checker<'_> {
@@ -39,7 +39,7 @@
         if !self.pool.fits(id) {
             let bytes = self.pool.facts(id).builds;
             let found = format_args!("strings of up to {bytes} bytes built for one request").to_string();
-            return Err(Fault::new(expr.at, found, format_args!("at most {BUILT_MOST}")));
+            return Err(Fault::new(expr.at, found, format_args!("at most {MAX_BUILT_BYTES}")));
         }
         Ok(id)
     }
@@ -52,8 +52,8 @@
     fn add(&mut self, expr: &Expr, term: Term) -> TermId {
         let id = self.pool.add(term);
         let own = self.pool.facts(id).own;
-        if own > self.dearest.0 {
-            self.dearest = (own, expr.at);
+        if own > self.costliest.0 {
+            self.costliest = (own, expr.at);
         }
         id
     }
@@ -145,11 +145,9 @@
             return Err(Fault::new(of.at, of, "segments, query or headers before an index"));
         };
         match (name.as_str(), &at.kind) {
-            ("segments", Kind::Int(n)) if (0..SEGMENTS_MOST as i64).contains(n) => {
-                Ok(Term::Segment(*n as u8))
-            }
+            ("segments", Kind::Int(n)) if (0..MAX_SEGMENTS as i64).contains(n) => Ok(Term::Segment(*n as u8)),
             ("segments", _) => {
-                let wanted = format_args!("a segment's number from 0 to {}", SEGMENTS_MOST - 1).to_string();
+                let wanted = format_args!("a segment's number from 0 to {}", MAX_SEGMENTS - 1).to_string();
                 Err(Fault::new(at.at, at, wanted))
             }
             ("query", Kind::Text(name)) if !name.is_empty() => Ok(Term::Query(Arc::from(name.as_str()))),
--- a/crates/yarrowspoke-expr/src/index.rs
+++ b/crates/yarrowspoke-expr/src/index.rs
@@ -51,7 +51,7 @@
 
 impl Access {
     /// Steps of the look-ups for a text of so many bytes.
-    fn price(&self, bytes: usize) -> u64 {
+    fn cost(&self, bytes: usize) -> u64 {
         let equals = if self.equals.is_empty() { 0 } else { bounds::lookup(bytes.min(self.longest)) };
         let lengths = self.lengths.iter().take_while(|l| **l <= bytes);
         equals + lengths.map(|l| bounds::lookup(*l)).sum::<u64>() + 1
@@ -64,11 +64,11 @@
     /// Rules that are looked at for every request, as bits.
     rest: Vec<u64>,
     /// How many those are.
-    pub unfound: usize,
+    pub unindexed: usize,
     /// Most steps that a request takes, the actions left out.
-    pub price: u64,
+    pub cost: u64,
     /// What costs most of it, in words.
-    pub dearest: String,
+    pub costliest: String,
 }
 
 impl Index {
@@ -90,11 +90,11 @@
         }
         let mut chosen: BTreeMap<TermId, Vec<(u32, &Way)>> = BTreeMap::new();
         let mut rest = vec![0u64; conditions.len().div_ceil(64)];
-        let mut unfound = 0;
+        let mut unindexed = 0;
         for (n, alternatives) in ways.iter().enumerate() {
             let mut picks = Vec::new();
             for alternative in alternatives {
-                let cost = |way: &&Way| {
+                let candidate_cost = |way: &&Way| {
                     let shared = matches!(way, Way::Among(..));
                     let keys = way.keys().iter();
                     let most =
@@ -102,11 +102,11 @@
                     let met = chosen.contains_key(&way.of());
                     most.unwrap_or(0) + if met { 0 } else { pool.facts(way.of()).whole }
                 };
-                picks.push(alternative.iter().min_by_key(cost));
+                picks.push(alternative.iter().min_by_key(candidate_cost));
             }
             if picks.is_empty() || picks.iter().any(Option::is_none) {
                 rest[n / 64] |= 1 << (n % 64);
-                unfound += 1;
+                unindexed += 1;
                 continue;
             }
             for way in picks.into_iter().flatten() {
@@ -159,16 +159,16 @@
         }
         let words = rest.len() as u64;
         let of_rest: Vec<u32> = (0..conditions.len() as u32).filter(|n| has(&rest, *n)).collect();
-        let rest_price: u64 = of_rest.iter().map(|r| weights[*r as usize]).sum();
-        let found: u64 = accesses.iter().map(|a| a.value.price + a.price(a.most) + a.worst).sum();
+        let rest_cost: u64 = of_rest.iter().map(|r| weights[*r as usize]).sum();
+        let found: u64 = accesses.iter().map(|a| a.value.cost + a.cost(a.most) + a.worst).sum();
         let mut dear: Vec<(u64, String)> = accesses.iter().map(|a| (a.worst, a.worst_at.clone())).collect();
         let told = format!(
-            "rules that no constant text finds: {rest_price} steps for {unfound} rules, the dearest {}",
+            "rules that no constant text finds: {rest_cost} steps for {unindexed} rules, the dearest {}",
             named(&of_rest)
         );
-        dear.push((rest_price, told));
-        let dearest = dear.into_iter().max_by_key(|d| d.0).map_or(String::new(), |d| d.1);
-        Self { accesses, rest, unfound, price: found + rest_price + 2 * words, dearest }
+        dear.push((rest_cost, told));
+        let costliest = dear.into_iter().max_by_key(|d| d.0).map_or(String::new(), |d| d.1);
+        Self { accesses, rest, unindexed, cost: found + rest_cost + 2 * words, costliest }
     }
 
     /// Marks in `bits` all rules that may hold.
@@ -189,7 +189,7 @@
             // Without a value none of its rules can hold.
             let Ok(Value::Text(slice)) = value else { continue };
             if COUNTED {
-                machine.steps += access.price(slice.bytes());
+                machine.steps += access.cost(slice.bytes());
             }
             let text = machine.text(program, request, slice);
             let mut mark = |rules: &[u32]| {
--- a/crates/yarrowspoke-expr/src/direct.rs
+++ b/crates/yarrowspoke-expr/src/interpreter.rs
@@ -10,7 +10,7 @@
 
 /// A value as the plain way knows it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Plain {
+pub enum Value {
     /// An optional value that is not there.
     Absent,
     /// `true` or `false`.
@@ -20,10 +20,10 @@
     /// A string.
     Text(String),
     /// A list.
-    List(Vec<Plain>),
+    List(Vec<Value>),
 }
 
-impl fmt::Display for Plain {
+impl fmt::Display for Value {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Absent => f.write_str("none"),
@@ -36,27 +36,27 @@
 }
 
 /// What an expression comes to for a request; `None` where it has no value.
-pub fn value(expr: &Expr, request: &Request, regexes: &Regexes, names: &[String]) -> Option<Plain> {
-    Walk { request, regexes, names }.of(expr)
+pub fn value(expr: &Expr, request: &Request, regexes: &Regexes, names: &[String]) -> Option<Value> {
+    Interpreter { request, regexes, names }.of(expr)
 }
 
-struct Walk<'a> {
+struct Interpreter<'a> {
     request: &'a Request<'a>,
     regexes: &'a Regexes,
     names: &'a [String],
 }
 
-impl Walk<'_> {
+impl Interpreter<'_> {
     fn bool(&self, expr: &Expr) -> Option<bool> {
         match self.of(expr)? {
-            Plain::Bool(b) => Some(b),
+            Value::Bool(b) => Some(b),
             _ => None,
         }
     }
 
     fn text(&self, expr: &Expr) -> Option<String> {
         match self.of(expr)? {
-            Plain::Text(t) => Some(t),
+            Value::Text(t) => Some(t),
             _ => None,
         }
     }
@@ -66,16 +66,16 @@
         path.strip_prefix('/').unwrap_or(path).split('/').map(str::to_owned).collect()
     }
 
-    fn query(&self, name: &str) -> Plain {
+    fn query(&self, name: &str) -> Value {
         let query = self.request.target.split_once('?').map_or("", |t| t.1);
         let mut pairs = query.split('&').filter_map(|p| p.split_once('='));
         let found = pairs.find(|p| p.0 == name);
-        found.map_or(Plain::Absent, |p| Plain::Text(p.1.to_owned()))
+        found.map_or(Value::Absent, |p| Value::Text(p.1.to_owned()))
     }
 
-    fn name(&self, name: &str) -> Option<Plain> {
+    fn name(&self, name: &str) -> Option<Value> {
         let r = self.request;
-        let text = |t: &str| Plain::Text(t.to_owned());
+        let text = |t: &str| Value::Text(t.to_owned());
         Some(match name {
             "method" => text(r.method),
             "path" => text(r.target.split('?').next().unwrap_or("")),
@@ -83,107 +83,107 @@
             "class" => text(r.class),
             "tenant" => text(r.tenant),
             "key" => self.query("key"),
-            "budget" => Plain::Int(r.budget),
-            "hint" => r.hint.map_or(Plain::Absent, Plain::Int),
-            "repeat" => Plain::Bool(r.repeat),
-            "length" => Plain::Int(r.length),
-            "segments" => Plain::List(self.segments().into_iter().map(Plain::Text).collect()),
+            "budget" => Value::Int(r.budget),
+            "hint" => r.hint.map_or(Value::Absent, Value::Int),
+            "repeat" => Value::Bool(r.repeat),
+            "length" => Value::Int(r.length),
+            "segments" => Value::List(self.segments().into_iter().map(Value::Text).collect()),
             _ => return None,
         })
     }
 
-    fn of(&self, expr: &Expr) -> Option<Plain> {
+    fn of(&self, expr: &Expr) -> Option<Value> {
         Some(match &expr.kind {
-            Kind::Bool(b) => Plain::Bool(*b),
-            Kind::Int(n) | Kind::Duration(n) => Plain::Int(*n),
-            Kind::Text(t) => Plain::Text(t.clone()),
-            Kind::List(parts) => Plain::List(parts.iter().map(|p| self.of(p)).collect::<Option<_>>()?),
+            Kind::Bool(b) => Value::Bool(*b),
+            Kind::Int(n) | Kind::Duration(n) => Value::Int(*n),
+            Kind::Text(t) => Value::Text(t.clone()),
+            Kind::List(parts) => Value::List(parts.iter().map(|p| self.of(p)).collect::<Option<_>>()?),
             Kind::Name(name) => self.name(name)?,
             Kind::Index(of, at) => match (&of.kind, &at.kind) {
                 (Kind::Name(n), Kind::Int(at)) if n == "segments" => {
                     let found = self.segments().into_iter().nth(*at as usize);
-                    found.map_or(Plain::Absent, Plain::Text)
+                    found.map_or(Value::Absent, Value::Text)
                 }
                 (Kind::Name(n), Kind::Text(name)) if n == "query" => self.query(name),
                 (Kind::Name(n), Kind::Text(name)) if n == "headers" => {
                     let at = self.names.iter().position(|h| h.eq_ignore_ascii_case(name))?;
                     let value = self.request.headers.get(at).and_then(|h| h.clone());
-                    value.map_or(Plain::Absent, Plain::Text)
+                    value.map_or(Value::Absent, Value::Text)
                 }
                 _ => return None,
             },
             Kind::Call { name, args, .. } => self.call(name, args)?,
-            Kind::Unary(Unary::Not, of) => Plain::Bool(!self.bool(of)?),
+            Kind::Unary(Unary::Not, of) => Value::Bool(!self.bool(of)?),
             Kind::Unary(Unary::Neg, of) => match self.of(of)? {
-                Plain::Int(n) => Plain::Int(0i64.checked_sub(n)?),
+                Value::Int(n) => Value::Int(0i64.checked_sub(n)?),
                 _ => return None,
             },
             Kind::And(parts) => {
                 for part in parts {
                     if !self.bool(part)? {
-                        return Some(Plain::Bool(false));
+                        return Some(Value::Bool(false));
                     }
                 }
-                Plain::Bool(true)
+                Value::Bool(true)
             }
             Kind::Or(parts) => {
                 for part in parts {
                     if self.bool(part)? {
-                        return Some(Plain::Bool(true));
+                        return Some(Value::Bool(true));
                     }
                 }
-                Plain::Bool(false)
+                Value::Bool(false)
             }
             Kind::Choice(parts) => return self.of(&parts[if self.bool(&parts[0])? { 1 } else { 2 }]),
             Kind::Binary(op, a, b) => self.binary(*op, self.of(a)?, self.of(b)?)?,
         })
     }
 
-    fn call(&self, name: &str, args: &[Expr]) -> Option<Plain> {
+    fn call(&self, name: &str, args: &[Expr]) -> Option<Value> {
         let text = |n: usize| self.text(args.get(n)?);
         Some(match name {
-            "startsWith" => Plain::Bool(text(0)?.starts_with(&text(1)?)),
-            "endsWith" => Plain::Bool(text(0)?.ends_with(&text(1)?)),
-            "contains" => Plain::Bool(text(0)?.contains(&text(1)?)),
-            "matches" => Plain::Bool(self.regexes.find(&text(1)?)?.finds(text(0)?.as_bytes()).0),
+            "startsWith" => Value::Bool(text(0)?.starts_with(&text(1)?)),
+            "endsWith" => Value::Bool(text(0)?.ends_with(&text(1)?)),
+            "contains" => Value::Bool(text(0)?.contains(&text(1)?)),
+            "matches" => Value::Bool(self.regexes.find(&text(1)?)?.finds(text(0)?.as_bytes()).0),
             "size" => match self.of(args.first()?)? {
-                Plain::Text(t) => Plain::Int(t.len() as i64),
-                Plain::List(l) => Plain::Int(l.len() as i64),
+                Value::Text(t) => Value::Int(t.len() as i64),
+                Value::List(l) => Value::Int(l.len() as i64),
                 _ => return None,
             },
-            "has" => Plain::Bool(self.of(args.first()?)? != Plain::Absent),
+            "has" => Value::Bool(self.of(args.first()?)? != Value::Absent),
             "orValue" => match self.of(args.first()?)? {
-                Plain::Absent => return self.of(args.get(1)?),
+                Value::Absent => return self.of(args.get(1)?),
                 there => there,
             },
-            "hash" => Plain::Int(hash(&text(0)?)),
-            "int" => to_int(&text(0)?).map_or(Plain::Absent, Plain::Int),
-            "lowerAscii" => Plain::Text(text(0)?.to_ascii_lowercase()),
+            "hash" => Value::Int(hash(&text(0)?)),
+            "int" => to_int(&text(0)?).map_or(Value::Absent, Value::Int),
+            "lowerAscii" => Value::Text(text(0)?.to_ascii_lowercase()),
             _ => return None,
         })
     }
 
-    fn binary(&self, op: Binary, a: Plain, b: Plain) -> Option<Plain> {
+    fn binary(&self, op: Binary, a: Value, b: Value) -> Option<Value> {
         let order = match (&a, &b) {
-            (Plain::Int(a), Plain::Int(b)) => a.cmp(b),
-            (Plain::Text(a), Plain::Text(b)) => a.cmp(b),
-            (Plain::Bool(a), Plain::Bool(b)) => a.cmp(b),
-            (_, Plain::List(all)) if op == Binary::In => return Some(Plain::Bool(all.contains(&a))),
+            (Value::Int(a), Value::Int(b)) => a.cmp(b),
+            (Value::Text(a), Value::Text(b)) => a.cmp(b),
+            (Value::Bool(a), Value::Bool(b)) => a.cmp(b),
+            (_, Value::List(all)) if op == Binary::In => return Some(Value::Bool(all.contains(&a))),
             _ => return None,
         };
         Some(match (op, a, b) {
-            (Binary::Eq, ..) => Plain::Bool(order.is_eq()),
-            (Binary::Ne, ..) => Plain::Bool(order.is_ne()),
-            (Binary::Lt, ..) => Plain::Bool(order.is_lt()),
-            (Binary::Le, ..) => Plain::Bool(order.is_le()),
-            (Binary::Gt, ..) => Plain::Bool(order.is_gt()),
-            (Binary::Ge, ..) => Plain::Bool(order.is_ge()),
-            (Binary::Add, Plain::Text(a), Plain::Text(b)) => Plain::Text(a + &b),
-            (Binary::Add, Plain::Int(a), Plain::Int(b)) => Plain::Int(a.checked_add(b)?),
-            (Binary::Sub, Plain::Int(a), Plain::Int(b)) => Plain::Int(a.checked_sub(b)?),
-            (Binary::Mul, Plain::Int(a), Plain::Int(b)) => Plain::Int(a.checked_mul(b)?),
-            (Binary::Div, Plain::Int(a), Plain::Int(b)) => Plain::Int(a.checked_div(b)?),
-            (Binary::Rem, Plain::Int(a), Plain::Int(b)) => Plain::Int(a.checked_rem(b)?),
+            (Binary::Eq, ..) => Value::Bool(order.is_eq()),
+            (Binary::Ne, ..) => Value::Bool(order.is_ne()),
+            (Binary::Lt, ..) => Value::Bool(order.is_lt()),
+            (Binary::Le, ..) => Value::Bool(order.is_le()),
+            (Binary::Gt, ..) => Value::Bool(order.is_gt()),
+            (Binary::Ge, ..) => Value::Bool(order.is_ge()),
+            (Binary::Add, Value::Text(a), Value::Text(b)) => Value::Text(a + &b),
+            (Binary::Add, Value::Int(a), Value::Int(b)) => Value::Int(a.checked_add(b)?),
+            (Binary::Sub, Value::Int(a), Value::Int(b)) => Value::Int(a.checked_sub(b)?),
+            (Binary::Mul, Value::Int(a), Value::Int(b)) => Value::Int(a.checked_mul(b)?),
+            (Binary::Div, Value::Int(a), Value::Int(b)) => Value::Int(a.checked_div(b)?),
+            (Binary::Rem, Value::Int(a), Value::Int(b)) => Value::Int(a.checked_rem(b)?),
             _ => return None,
         })
     }
--- a/crates/yarrowspoke-expr/src/lib.rs
+++ b/crates/yarrowspoke-expr/src/lib.rs
@@ -10,8 +10,8 @@
 pub mod bounds;
 pub mod buckets;
 pub mod check;
-pub mod direct;
 mod index;
+pub mod interpreter;
 mod lex;
 mod logic;
 pub mod parse;
--- a/crates/yarrowspoke-expr/src/logic.rs
+++ b/crates/yarrowspoke-expr/src/logic.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 /// Pairs of rules that are compared at the most. Danger: a file of thousands of like rules would take minutes to load.
-const PAIRS_MOST: usize = 4_000_000;
+const MAX_COMPARED_PAIRS: usize = 4_000_000;
 
 /// The parts of a condition that all hold.
 pub fn all_of(pool: &Pool, id: TermId) -> Vec<TermId> {
@@ -190,7 +190,7 @@
             for key in keys(*part) {
                 for earlier in under.get(&key).into_iter().flatten() {
                     pairs += 1;
-                    if pairs > PAIRS_MOST {
+                    if pairs > MAX_COMPARED_PAIRS {
                         return (out, false);
                     }
                     let theirs = all_of(pool, conditions[*earlier]);
--- a/crates/yarrowspoke-expr/src/parse.rs
+++ b/crates/yarrowspoke-expr/src/parse.rs
@@ -13,11 +13,11 @@
 use winnow::Parser;
 
 /// Most bytes of an expression.
-pub const TEXT_MOST: usize = 8 * 1024;
+pub const MAX_EXPRESSION_BYTES: usize = 8 * 1024;
 /// Most levels of nesting.
-pub const DEPTH_MOST: usize = 48;
+pub const MAX_DEPTH: usize = 48;
 /// Most nodes of a syntax tree.
-pub const NODES_MOST: usize = 2_048;
+pub const MAX_NODES: usize = 2_048;
 
 type Tokens<'a> = TokenSlice<'a, Spanned>;
 
@@ -30,12 +30,12 @@
 
 /// Reads an expression.
 pub fn parse(text: &str) -> Result<Expr, Fault> {
-    if text.len() > TEXT_MOST {
-        let at = Span { from: TEXT_MOST, to: text.len() };
+    if text.len() > MAX_EXPRESSION_BYTES {
+        let at = Span { from: MAX_EXPRESSION_BYTES, to: text.len() };
         return Err(Fault::new(
             at,
             format_args!("{} bytes", text.len()),
-            format_args!("at most {TEXT_MOST}"),
+            format_args!("at most {MAX_EXPRESSION_BYTES}"),
         ));
     }
     let tokens = tokens(text)?;
@@ -96,12 +96,12 @@
     fn node(&mut self, from: usize, to: usize, kind: Kind) -> Result<Expr, Fault> {
         self.nodes += 1;
         let at = Span { from, to };
-        if self.nodes > NODES_MOST {
-            return Err(Fault::new(at, "more", format_args!("at most {NODES_MOST} operators and operands")));
+        if self.nodes > MAX_NODES {
+            return Err(Fault::new(at, "more", format_args!("at most {MAX_NODES} operators and operands")));
         }
         let expr = Expr::new(at, kind);
-        if expr.height > DEPTH_MOST {
-            return Err(Fault::new(at, "more", format_args!("at most {DEPTH_MOST} levels of nesting")));
+        if expr.height > MAX_DEPTH {
+            return Err(Fault::new(at, "more", format_args!("at most {MAX_DEPTH} levels of nesting")));
         }
         Ok(expr)
     }
@@ -109,9 +109,9 @@
     /// Goes one level down for as long as `read` runs.
     fn deeper<T>(&mut self, read: impl FnOnce(&mut Self) -> Result<T, Fault>) -> Result<T, Fault> {
         self.depth += 1;
-        if self.depth > DEPTH_MOST {
+        if self.depth > MAX_DEPTH {
             let at = self.place();
-            return Err(Fault::new(at, "more", format_args!("at most {DEPTH_MOST} levels of nesting")));
+            return Err(Fault::new(at, "more", format_args!("at most {MAX_DEPTH} levels of nesting")));
         }
         let read = read(self);
         self.depth -= 1;
--- a/crates/yarrowspoke-expr/src/program.rs
+++ b/crates/yarrowspoke-expr/src/program.rs
@@ -4,7 +4,7 @@
 //! their prices bounds the work. Nothing is counted while requests are served; [`Machine::run`] with `COUNTED` adds up
 //! what was in fact done, in the same units, so that tests can hold it against the bound.
 
-use crate::bounds::{self, BUILT_MOST};
+use crate::bounds::{self, MAX_BUILT_BYTES};
 use crate::regexes::Regexes;
 use crate::request::{Request, Segments, Slice, Source};
 use crate::terms::{Affix, Const, Field, Math, Pool, Term, TermId, Type};
@@ -70,7 +70,7 @@
     from: u32,
     to: u32,
     /// Most steps that it takes.
-    pub price: u64,
+    pub cost: u64,
 }
 
 /// The operations of a set, flat.
@@ -124,8 +124,8 @@
     pub fn part(&mut self, id: TermId) -> Part {
         let from = self.program.code.len() as u32;
         self.depth = 0;
-        let price = self.put(id);
-        Part { from, to: self.program.code.len() as u32, price }
+        let cost = self.put(id);
+        Part { from, to: self.program.code.len() as u32, cost }
     }
 
     fn emit(&mut self, code: Code) -> usize {
@@ -164,10 +164,10 @@
             *memos - 1
         });
         let known = self.emit(Code::Known(slot, 0));
-        let price = self.put_bare(id);
+        let cost = self.put_bare(id);
         self.emit(Code::Keep(slot));
         self.program.code[known] = Code::Known(slot, self.here());
-        price + 2
+        cost + 2
     }
 
     fn all(&mut self, parts: &[TermId]) -> u64 {
@@ -199,39 +199,39 @@
             }
             Term::And(parts) | Term::Or(parts) => {
                 let holds = matches!(self.pool.term(id), Term::Or(_));
-                let mut price = own;
+                let mut cost = own;
                 let mut jumps = Vec::new();
                 for (n, part) in parts.iter().enumerate() {
                     if n > 0 {
                         jumps.push(self.emit(Code::JumpIf(holds, 0)));
                         self.depth -= 1;
                     }
-                    price += self.put(*part);
+                    cost += self.put(*part);
                 }
                 for jump in jumps {
                     self.program.code[jump] = Code::JumpIf(holds, self.here());
                 }
-                return price;
+                return cost;
             }
             Term::Choice(test, yes, no) => {
-                let mut price = own + self.put(test);
+                let mut cost = own + self.put(test);
                 let unless = self.emit(Code::Unless(0));
                 self.depth -= 1;
-                price += self.put(yes);
+                cost += self.put(yes);
                 let jump = self.emit(Code::Jump(0));
                 self.depth -= 1;
                 self.program.code[unless] = Code::Unless(self.here());
-                price += self.put(no);
+                cost += self.put(no);
                 self.program.code[jump] = Code::Jump(self.here());
-                return price;
+                return cost;
             }
             Term::OrValue(of, other) => {
-                let mut price = own + self.put(of);
+                let mut cost = own + self.put(of);
                 let there = self.emit(Code::IfThere(0));
                 self.depth -= 1;
-                price += self.put(other);
+                cost += self.put(other);
                 self.program.code[there] = Code::IfThere(self.here());
-                return price;
+                return cost;
             }
             Term::Eq(a, b) => return own + self.two(a, b, Code::Eq),
             Term::Less(a, b) => return own + self.two(a, b, Code::Less),
@@ -252,26 +252,26 @@
                 return own + self.one(a, Code::OneOf(list));
             }
             Term::Concat(parts) => {
-                let price = own + self.all(&parts);
+                let cost = own + self.all(&parts);
                 self.emit(Code::Concat(parts.len() as u32));
                 self.depth -= parts.len() - 1;
-                return price;
+                return cost;
             }
         }
         own
     }
 
     fn one(&mut self, a: TermId, code: Code) -> u64 {
-        let price = self.put(a);
+        let cost = self.put(a);
         self.emit(code);
-        price
+        cost
     }
 
     fn two(&mut self, a: TermId, b: TermId, code: Code) -> u64 {
-        let price = self.put(a) + self.put(b);
+        let cost = self.put(a) + self.put(b);
         self.emit(code);
         self.depth -= 1;
-        price
+        cost
     }
 }
 
@@ -308,7 +308,7 @@
             stack: Vec::with_capacity(program.stack + 1),
             memo: vec![(0, Value::Absent); program.memos as usize],
             round: 0,
-            built: String::with_capacity(BUILT_MOST),
+            built: String::with_capacity(MAX_BUILT_BYTES),
             segments: Segments::default(),
             steps: 0,
         }
@@ -560,7 +560,7 @@
                 }
                 Code::ToInt => {
                     let of = pop!(Text);
-                    pay!(bounds::scan(of.bytes().min(bounds::DIGITS_MOST)));
+                    pay!(bounds::scan(of.bytes().min(bounds::MAX_INT_BYTES)));
                     stack.push(to_int(text!(of)).map_or(Value::Absent, Value::Int));
                 }
                 Code::Lower => {
@@ -621,7 +621,7 @@
 
 /// The language's `int`: digits, with a sign before them or none.
 pub fn to_int(text: &str) -> Option<i64> {
-    if text.len() > bounds::DIGITS_MOST {
+    if text.len() > bounds::MAX_INT_BYTES {
         return None;
     }
     text.parse().ok()
--- a/crates/yarrowspoke-expr/src/regexes.rs
+++ b/crates/yarrowspoke-expr/src/regexes.rs
@@ -3,7 +3,7 @@
 //! The regex crate's own engines run in time that grows with the text times the pattern; its automata, made whole at load,
 //! do not. Their size and the work of making them are bounded, so that nested repeats are refused at once.
 
-use crate::bounds::{AUTOMATON_MOST, MAKING_MOST, PATTERN_MOST};
+use crate::bounds::{MAX_AUTOMATON_BUILD_BYTES, MAX_AUTOMATON_BYTES, MAX_PATTERN_BYTES};
 use regex_automata::dfa::{dense, Automaton, StartKind};
 use regex_automata::nfa::thompson;
 use regex_automata::util::{start::Config as Start, syntax};
@@ -18,19 +18,19 @@
 impl Regex {
     /// Makes the automaton; else what is expected of a pattern.
     pub fn new(pattern: &str) -> Result<Self, String> {
-        if pattern.len() > PATTERN_MOST {
-            return Err(format!("at most {PATTERN_MOST} bytes"));
+        if pattern.len() > MAX_PATTERN_BYTES {
+            return Err(format!("at most {MAX_PATTERN_BYTES} bytes"));
         }
         let automaton = dense::Builder::new()
             .configure(
                 dense::Config::new()
                     .start_kind(StartKind::Unanchored)
                     .match_kind(MatchKind::All)
-                    .dfa_size_limit(Some(AUTOMATON_MOST))
-                    .determinize_size_limit(Some(MAKING_MOST)),
+                    .dfa_size_limit(Some(MAX_AUTOMATON_BYTES))
+                    .determinize_size_limit(Some(MAX_AUTOMATON_BUILD_BYTES)),
             )
             .syntax(syntax::Config::new().unicode(false).utf8(false).nest_limit(32))
-            .thompson(thompson::Config::new().utf8(false).nfa_size_limit(Some(MAKING_MOST)))
+            .thompson(thompson::Config::new().utf8(false).nfa_size_limit(Some(MAX_AUTOMATON_BUILD_BYTES)))
             .build(pattern)
             .map_err(|e| told(&e))?;
         Ok(Self { automaton })
@@ -68,7 +68,7 @@
     let text = cause.to_string();
     let last = text.lines().last().unwrap_or("").trim();
     if e.is_size_limit_exceeded() || text.contains("size limit") || text.contains("exceed") {
-        format!("a pattern whose automaton has at most {AUTOMATON_MOST} bytes")
+        format!("a pattern whose automaton has at most {MAX_AUTOMATON_BYTES} bytes")
     } else {
         format!("a pattern of bytes ({last})")
     }
--- a/crates/yarrowspoke-expr/src/request.rs
+++ b/crates/yarrowspoke-expr/src/request.rs
@@ -3,7 +3,7 @@
 //! Nothing is decoded. Danger: where one reader decodes `%2e` and another does not, each sees another request; so rules
 //! and machines are shown the same bytes, and a rule that means the decoded form names both.
 
-use crate::bounds::{Bounds, METHOD_MOST, SEGMENTS_MOST};
+use crate::bounds::{Bounds, MAX_METHOD_BYTES, MAX_SEGMENTS};
 use crate::terms::Field;
 
 /// A request as rules see it.
@@ -82,12 +82,12 @@
 
 impl<'a> Request<'a> {
     /// Whether it keeps within the bounds on which the prices rest.
-    pub fn fits(&self, bounds: &Bounds) -> Result<(), TooLong> {
-        if self.target.len() > bounds.target {
+    pub fn check_size(&self, bounds: &Bounds) -> Result<(), TooLong> {
+        if self.target.len() > bounds.max_target_bytes {
             return Err(TooLong::Target);
         }
-        let long = |h: &Option<String>| h.as_ref().is_some_and(|h| h.len() > bounds.header);
-        if self.method.len() > METHOD_MOST || self.headers.iter().any(long) {
+        let long = |h: &Option<String>| h.as_ref().is_some_and(|h| h.len() > bounds.max_header_bytes);
+        if self.method.len() > MAX_METHOD_BYTES || self.headers.iter().any(long) {
             return Err(TooLong::Header);
         }
         Ok(())
@@ -129,7 +129,7 @@
 /// Where the path's segments lie, found in one pass.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Segments {
-    places: [(u32, u32); SEGMENTS_MOST],
+    places: [(u32, u32); MAX_SEGMENTS],
     /// How many segments the path has, those past the ones kept included.
     pub count: usize,
 }
--- a/crates/yarrowspoke-expr/src/ruling.rs
+++ b/crates/yarrowspoke-expr/src/ruling.rs
@@ -21,11 +21,11 @@
 
 /// What a rule says, as the file states it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Says {
+pub struct RuleActions {
     /// Counts with this class's aim and worth.
     pub class: Option<String>,
     /// Is never sent again once it may have run.
-    pub once: bool,
+    pub at_most_once: bool,
     /// Expression of its subject.
     pub subject: Option<String>,
     /// Counts for this tenant.
@@ -44,7 +44,7 @@
     pub refuse: Option<Micros>,
 }
 
-impl Says {
+impl RuleActions {
     /// Whether it says anything.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
@@ -53,7 +53,7 @@
 
 /// The names and bounds of a deployment, as its settings tell them.
 #[derive(Clone, Copy, Debug)]
-pub struct World<'a> {
+pub struct Deployment<'a> {
     /// Names of the classes.
     pub class_names: &'a [String],
     /// The classes.
@@ -72,9 +72,9 @@
 
 /// What a rule says, with names turned into positions.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Bound {
+pub struct BoundActions {
     /// For the decision module.
-    pub ruled: RequestPolicy,
+    pub policy: RequestPolicy,
     /// Counts for this tenant.
     pub tenant: Option<u32>,
     /// Longest time that the client's wait is taken for.
@@ -84,10 +84,14 @@
 }
 
 /// What is wrong with what a rule says: what stands there and what was expected.
-pub type Refused = (String, String);
+pub type ActionFault = (String, String);
 
 /// Turns names into positions, for a rule that may hold for the classes named in `holds`, or for any if that is `None`.
-pub fn bind(says: &Says, holds: Option<&BTreeSet<String>>, world: &World) -> Result<Bound, Vec<Refused>> {
+pub fn bind(
+    actions: &RuleActions,
+    holds: Option<&BTreeSet<String>>,
+    deployment: &Deployment,
+) -> Result<BoundActions, Vec<ActionFault>> {
     let mut faults = Vec::new();
     let mut place = |what: &str, name: &Option<String>, all: &[String]| -> Option<usize> {
         let name = name.as_ref()?;
@@ -97,45 +101,45 @@
         }
         found
     };
-    let class = place("class", &says.class, world.class_names);
-    let tenant = place("tenant", &says.tenant, world.tenants);
-    let zone = place("zone", &says.zone, world.zones);
-    let kind = place("kind", &says.kind, world.kinds);
-    if let Some(n) = says.attempts.filter(|n| *n > world.max_attempts) {
-        let wanted = format!("at most the settings' {}", world.max_attempts);
+    let class = place("class", &actions.class, deployment.class_names);
+    let tenant = place("tenant", &actions.tenant, deployment.tenants);
+    let zone = place("zone", &actions.zone, deployment.zones);
+    let kind = place("kind", &actions.kind, deployment.kinds);
+    if let Some(n) = actions.attempts.filter(|n| *n > deployment.max_attempts) {
+        let wanted = format!("at most the settings' {}", deployment.max_attempts);
         faults.push((format!("{n} attempts"), wanted));
     }
-    let mut once = says.once;
+    let mut once = actions.at_most_once;
     if let Some(target) = class {
-        for (own, name) in world.class_names.iter().enumerate() {
+        for (own, name) in deployment.class_names.iter().enumerate() {
             if holds.is_some_and(|h| !h.contains(name)) {
                 continue;
             }
-            if let Some(wanted) = looser(&world.classes[own], &world.classes[target]) {
+            if let Some(wanted) = looser(&deployment.classes[own], &deployment.classes[target]) {
                 faults.push((
-                    format!("class {} for requests of class {name}", world.class_names[target]),
+                    format!("class {} for requests of class {name}", deployment.class_names[target]),
                     wanted,
                 ));
             }
         }
-        once |= world.classes[target].idempotency == Idempotency::AtMostOnce;
+        once |= deployment.classes[target].idempotency == Idempotency::AtMostOnce;
     }
     if !faults.is_empty() {
         return Err(faults);
     }
-    let ruled = RequestPolicy {
+    let policy = RequestPolicy {
         at_most_once: once,
-        max_attempts: says.attempts,
+        max_attempts: actions.attempts,
         value_class: class.map(|c| c as u8),
         hash_key: None,
         preferred_zone: zone.map(|z| z as u16),
         preferred_kind: kind.map(|k| k as u8),
         deadline_cut: 0,
-        refuse_with_retry_after: says.refuse,
+        refuse_with_retry_after: actions.refuse,
     };
-    let fronts = f64::from(world.fronts.max(1));
-    let limit = says.limit.as_ref().map(|l| (l.rate / fronts, (l.burst / fronts).max(1.0)));
-    Ok(Bound { ruled, tenant: tenant.map(|t| t as u32), budget: says.budget, limit })
+    let fronts = f64::from(deployment.fronts.max(1));
+    let limit = actions.limit.as_ref().map(|l| (l.rate / fronts, (l.burst / fronts).max(1.0)));
+    Ok(BoundActions { policy, tenant: tenant.map(|t| t as u32), budget: actions.budget, limit })
 }
 
 /// What would be expected, if counting a request of class `own` as `target` were to loosen what guards it.
@@ -164,7 +168,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Ruling {
     /// For the decision module; `cut` is for the caller to fill in.
-    pub ruled: RequestPolicy,
+    pub policy: RequestPolicy,
     /// Counts for this tenant.
     pub tenant: Option<u32>,
     /// Longest time that the client's wait is taken for.
@@ -172,13 +176,13 @@
     /// Rules that held.
     pub matched: u32,
     /// Conditions and keys that had no value.
-    pub faults: u32,
+    pub without_value: u32,
 }
 
 impl Ruling {
     /// Takes in what one more rule says. Of bounds the tightest holds, of everything else the first that says it.
-    pub fn add(&mut self, bound: &Bound, subject: Option<u64>) {
-        let (mine, new) = (&mut self.ruled, &bound.ruled);
+    pub fn add(&mut self, bound_actions: &BoundActions, subject: Option<u64>) {
+        let (mine, new) = (&mut self.policy, &bound_actions.policy);
         self.matched += 1;
         mine.at_most_once |= new.at_most_once;
         mine.max_attempts = least(mine.max_attempts, new.max_attempts);
@@ -188,8 +192,8 @@
         mine.preferred_kind = mine.preferred_kind.or(new.preferred_kind);
         // The longest time to come back: sooner, another rule would refuse it again.
         mine.refuse_with_retry_after = mine.refuse_with_retry_after.max(new.refuse_with_retry_after);
-        self.tenant = self.tenant.or(bound.tenant);
-        self.budget = least(self.budget, bound.budget);
+        self.tenant = self.tenant.or(bound_actions.tenant);
+        self.budget = least(self.budget, bound_actions.budget);
     }
 }
 
@@ -202,7 +206,7 @@
 
 /// A place in a rule's texts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Piece {
+pub enum RulePart {
     /// Its condition.
     When,
     /// The expression of its subject.
@@ -220,7 +224,7 @@
     /// The rule's position; `None` for the set as a whole.
     pub rule: Option<usize>,
     /// Which of its texts.
-    pub piece: Piece,
+    pub rule_part: RulePart,
     /// Where in that text.
     pub at: Span,
     /// What stands there.
--- a/crates/yarrowspoke-expr/src/set.rs
+++ b/crates/yarrowspoke-expr/src/set.rs
@@ -1,16 +1,16 @@
 //! A set of rules: compiled as one whole or refused, and run for each request.
 
-use crate::bounds::{self, Bounds, RULES_MOST};
+use crate::bounds::{self, Bounds, MAX_RULES};
 use crate::buckets::Limit;
 use crate::check::Checker;
-use crate::direct;
 use crate::index::Index;
+use crate::interpreter;
 use crate::logic::{all_of, any_of, never, shadowed, texts};
 use crate::parse::parse;
 use crate::program::{hash, Compiler, Machine, Part, Program, Value};
 use crate::regexes::Regexes;
 use crate::request::Request;
-use crate::ruling::{bind, Bound, Piece, RuleFault, Ruling, Says, World};
+use crate::ruling::{bind, BoundActions, Deployment, RuleActions, RuleFault, RulePart, Ruling};
 use crate::syntax::{Expr, Fault, Kind, Span};
 use crate::terms::{Field, Pool, Term, TermId, Type, TEXT};
 use siphasher::sip::SipHasher13;
@@ -35,12 +35,12 @@
     /// Its condition.
     pub when: String,
     /// What it says.
-    pub says: Says,
+    pub actions: RuleActions,
 }
 
 /// A set as the file states it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct SetSource {
+pub struct RuleSetSource {
     /// Which of the rules that hold count.
     pub order: Order,
     /// Its bounds.
@@ -51,11 +51,11 @@
 
 struct Rule {
     name: String,
-    says: Says,
+    actions: RuleActions,
     when: Part,
     subject: Option<Part>,
     limit_key: Option<Part>,
-    bound: Bound,
+    bound_actions: BoundActions,
     /// Number of its limit, the same before and after a reload.
     limit_id: u64,
     /// Its condition as it was written, for `explain`.
@@ -76,27 +76,27 @@
 }
 
 /// A compiled set.
-pub struct Set {
+pub struct RuleSet {
     order: Order,
     bounds: Bounds,
     rules: Vec<Rule>,
     program: Program,
     index: Index,
     headers: Vec<String>,
-    price: u64,
+    cost: u64,
     /// What is odd in it.
     pub warnings: Vec<Warning>,
 }
 
 /// What a rule came to, for those who ask why.
 #[derive(Clone, Debug)]
-pub struct Explained {
+pub struct RuleExplanation {
     /// Its name.
     pub name: String,
     /// Whether it held; `None` where its condition had no value.
-    pub held: Option<bool>,
+    pub matched: Option<bool>,
     /// Whether the index found it.
-    pub found: bool,
+    pub is_candidate: bool,
     /// The parts of its condition, each with what it came to.
     pub parts: Vec<(String, String)>,
 }
@@ -104,20 +104,20 @@
 /// Steps of every request, whatever the rules: the call itself.
 const BEGIN: u64 = 4;
 
-impl Set {
+impl RuleSet {
     /// Compiles a set; all faults that are found in one reading.
-    pub fn compile(source: &SetSource) -> Result<Self, Vec<RuleFault>> {
+    pub fn compile(source: &RuleSetSource) -> Result<Self, Vec<RuleFault>> {
         let mut faults = Vec::new();
         let whole = |rule, found: String, expected: String| RuleFault {
             rule,
-            piece: Piece::Whole,
+            rule_part: RulePart::Whole,
             at: Span::default(),
             found,
             expected,
         };
-        if source.rules.len() > RULES_MOST {
+        if source.rules.len() > MAX_RULES {
             let found = format!("{} rules", source.rules.len());
-            return Err(vec![whole(None, found, format!("at most {RULES_MOST}"))]);
+            return Err(vec![whole(None, found, format!("at most {MAX_RULES}"))]);
         }
         let mut pool = Pool::new(source.bounds);
         let mut regexes = Regexes::default();
@@ -128,37 +128,41 @@
                 let wanted = format!("another name: rule {} has it", first + 1);
                 faults.push(whole(Some(n), format!("a second rule {}", rule.name), wanted));
             }
-            if rule.says.is_empty() {
+            if rule.actions.is_empty() {
                 let wanted = "something that it says: class, effect, refuse and so on".to_owned();
                 faults.push(whole(Some(n), format!("rule {} that says nothing", rule.name), wanted));
             }
-            let mut take = |piece: Piece, text: &str, ty: Type, dear: &mut Dear| {
+            let mut take = |rule_part: RulePart, text: &str, ty: Type, dear: &mut Dear| {
                 let mut checker =
-                    Checker { pool: &mut pool, regexes: &mut regexes, dearest: (0, Span::default()) };
+                    Checker { pool: &mut pool, regexes: &mut regexes, costliest: (0, Span::default()) };
                 let done = parse(text).and_then(|tree| checker.root(&tree, ty));
-                dear.note(checker.dearest, piece, text);
+                dear.note(checker.costliest, rule_part, text);
                 match done {
                     Ok(done) => Some(done),
                     Err(Fault { at, found, expected }) => {
-                        faults.push(RuleFault { rule: Some(n), piece, at, found, expected });
+                        faults.push(RuleFault { rule: Some(n), rule_part, at, found, expected });
                         None
                     }
                 }
             };
             let mut dear = Dear::default();
-            let when = take(Piece::When, &rule.when, Type::Bool, &mut dear);
-            let subject = rule.says.subject.as_ref().map(|s| take(Piece::Subject, s, TEXT, &mut dear));
-            let key = rule.says.limit.as_ref().and_then(|l| l.key.as_ref());
-            let key = key.map(|k| take(Piece::LimitKey, k, TEXT, &mut dear));
+            let when = take(RulePart::When, &rule.when, Type::Bool, &mut dear);
+            let subject = rule.actions.subject.as_ref().map(|s| take(RulePart::Subject, s, TEXT, &mut dear));
+            let key = rule.actions.limit.as_ref().and_then(|l| l.key.as_ref());
+            let key = key.map(|k| take(RulePart::LimitKey, k, TEXT, &mut dear));
             if let Some(when) = when {
                 read.push(Read { when, subject: subject.flatten(), key: key.flatten(), dear });
             }
             // Danger: patterns are made while the file is read, and thousands of large ones would fill the memory
             // before the whole is weighed.
             let made: usize = regexes.all.iter().map(|r| r.bytes()).sum();
-            if made > source.bounds.bytes {
+            if made > source.bounds.max_bytes {
                 let found = format!("regular expressions of {made} bytes up to rule {}", rule.name);
-                faults.push(whole(Some(n), found, format!("at most {} for the set", source.bounds.bytes)));
+                faults.push(whole(
+                    Some(n),
+                    found,
+                    format!("at most {} for the set", source.bounds.max_bytes),
+                ));
                 break;
             }
         }
@@ -169,7 +173,7 @@
     }
 
     fn assemble(
-        source: &SetSource,
+        source: &RuleSetSource,
         pool: Pool,
         regexes: Regexes,
         read: Vec<Read>,
@@ -178,26 +182,26 @@
         let mut compiler = Compiler::new(&pool, &uses, regexes);
         let mut rules = Vec::new();
         let mut weights = Vec::new();
-        let mut actions = Vec::new();
+        let mut action_costs = Vec::new();
         for (rule, read) in source.rules.iter().zip(&read) {
             let when = compiler.part(read.when);
             let subject = read.subject.map(|id| compiler.part(id));
             let limit_key = read.key.map(|id| compiler.part(id));
             // Keys are hashed once they are there.
             let keyed = |part: Option<Part>, id: Option<TermId>| {
-                part.map_or(0, |p| p.price + id.map_or(0, |id| bounds::lookup(pool.facts(id).most)))
+                part.map_or(0, |p| p.cost + id.map_or(0, |id| bounds::lookup(pool.facts(id).most)))
             };
             let action = 1 + keyed(subject, read.subject) + keyed(limit_key, read.key);
             let (holds, whole_class) = classes(&pool, read.when);
-            weights.push(1 + when.price + if source.order == Order::All { action } else { 0 });
-            actions.push(action);
+            weights.push(1 + when.cost + if source.order == Order::All { action } else { 0 });
+            action_costs.push(action);
             rules.push(Rule {
                 name: rule.name.clone(),
-                says: rule.says.clone(),
+                actions: rule.actions.clone(),
                 when,
                 subject,
                 limit_key,
-                bound: Bound::default(),
+                bound_actions: BoundActions::default(),
                 limit_id: hash(&rule.name) as u64,
                 text: rule.when.clone(),
                 holds,
@@ -208,12 +212,12 @@
         let names: Vec<&str> = rules.iter().map(|r| r.name.as_str()).collect();
         let index = Index::build(&pool, &conditions, &weights, &names, &mut compiler);
         let program = compiler.finish();
-        let segments = if program.segmented { bounds::scan(source.bounds.target) } else { 0 };
+        let segments = if program.segmented { bounds::scan(source.bounds.max_target_bytes) } else { 0 };
         let action = match source.order {
-            Order::First => actions.iter().copied().max().unwrap_or(0),
+            Order::First => action_costs.iter().copied().max().unwrap_or(0),
             Order::All => 0,
         };
-        let price = BEGIN + segments + index.price + action;
+        let cost = BEGIN + segments + index.cost + action;
         let warnings = warnings(&pool, source, &conditions);
         let headers = pool.headers;
         let set = Self {
@@ -223,46 +227,51 @@
             program,
             index,
             headers,
-            price,
+            cost,
             warnings,
         };
-        set.within_bounds(&read, &weights, &actions).map(|()| set)
+        set.within_bounds(&read, &weights, &action_costs).map(|()| set)
     }
 
     /// Refuses what is too dear or too large, naming the dearest part.
-    fn within_bounds(&self, read: &[Read], weights: &[u64], actions: &[u64]) -> Result<(), Vec<RuleFault>> {
+    fn within_bounds(
+        &self,
+        read: &[Read],
+        weights: &[u64],
+        action_costs: &[u64],
+    ) -> Result<(), Vec<RuleFault>> {
         let whole = |found: String, expected: String| RuleFault {
             rule: None,
-            piece: Piece::Whole,
+            rule_part: RulePart::Whole,
             at: Span::default(),
             found,
             expected,
         };
         let mut faults = Vec::new();
         for (n, read) in read.iter().enumerate() {
-            let own = weights[n].max(1 + self.rules[n].when.price + actions[n]);
-            if own > self.bounds.steps {
-                let Dear { price, at, piece, text } = &read.dear;
+            let own = weights[n].max(1 + self.rules[n].when.cost + action_costs[n]);
+            if own > self.bounds.max_steps {
+                let Dear { cost, at, rule_part, text } = &read.dear;
                 let found = format!(
-                    "rule {} of up to {own} steps, the dearest of them {price} for {}",
+                    "rule {} of up to {own} steps, the dearest of them {cost} for {}",
                     self.rules[n].name,
                     shown(text, *at)
                 );
-                let expected = format!("at most {} steps", self.bounds.steps);
-                faults.push(RuleFault { rule: Some(n), piece: *piece, at: *at, found, expected });
+                let expected = format!("at most {} steps", self.bounds.max_steps);
+                faults.push(RuleFault { rule: Some(n), rule_part: *rule_part, at: *at, found, expected });
             }
         }
-        if faults.is_empty() && self.price > self.bounds.steps {
+        if faults.is_empty() && self.cost > self.bounds.max_steps {
             let found = format!(
                 "rules that may cost a request {} steps, the dearest part {}",
-                self.price, self.index.dearest
+                self.cost, self.index.costliest
             );
-            faults.push(whole(found, format!("at most {} steps", self.bounds.steps)));
+            faults.push(whole(found, format!("at most {} steps", self.bounds.max_steps)));
         }
         let bytes = self.bytes();
-        if bytes > self.bounds.bytes {
+        if bytes > self.bounds.max_bytes {
             let found = format!("a compiled set of {bytes} bytes");
-            faults.push(whole(found, format!("at most {} bytes", self.bounds.bytes)));
+            faults.push(whole(found, format!("at most {} bytes", self.bounds.max_bytes)));
         }
         if faults.is_empty() {
             Ok(())
@@ -272,14 +281,14 @@
     }
 
     /// Turns the rules' names into a deployment's positions; refuses what would loosen its guards.
-    pub fn bind(&mut self, world: &World) -> Result<(), Vec<RuleFault>> {
+    pub fn bind(&mut self, deployment: &Deployment) -> Result<(), Vec<RuleFault>> {
         let mut faults = Vec::new();
         for (n, rule) in self.rules.iter_mut().enumerate() {
-            match bind(&rule.says, rule.holds.as_ref(), world) {
-                Ok(bound) => rule.bound = bound,
+            match bind(&rule.actions, rule.holds.as_ref(), deployment) {
+                Ok(bound_actions) => rule.bound_actions = bound_actions,
                 Err(refused) => faults.extend(refused.into_iter().map(|(found, expected)| RuleFault {
                     rule: Some(n),
-                    piece: Piece::Whole,
+                    rule_part: RulePart::Whole,
                     at: Span::default(),
                     found,
                     expected,
@@ -287,18 +296,19 @@
             }
         }
         for (n, rule) in self.rules.iter().enumerate() {
-            for class in rule.holds.iter().flatten().filter(|c| !world.class_names.contains(c)) {
+            for class in rule.holds.iter().flatten().filter(|c| !deployment.class_names.contains(c)) {
                 let text = format!("asks for class {class:?}, which the settings don't name");
                 self.warnings.push(Warning { rule: Some(n), text });
             }
         }
         let refused = |class: &String| {
             let mut whole = self.rules.iter().filter(|r| r.whole_class);
-            whole.any(|r| r.says.refuse.is_some() && r.holds.as_ref().is_none_or(|h| h.contains(class)))
+            whole.any(|r| r.actions.refuse.is_some() && r.holds.as_ref().is_none_or(|h| h.contains(class)))
         };
-        let out: Vec<&str> = world.class_names.iter().filter(|c| refused(c)).map(String::as_str).collect();
+        let out: Vec<&str> =
+            deployment.class_names.iter().filter(|c| refused(c)).map(String::as_str).collect();
         if !out.is_empty() {
-            let all = out.len() == world.class_names.len();
+            let all = out.len() == deployment.class_names.len();
             let what =
                 if all { "every request".to_owned() } else { format!("every request of {}", out.join(", ")) };
             // In "first match" an earlier rule may let some through: that is told apart.
@@ -316,13 +326,13 @@
     }
 
     /// Most steps that a request can cost.
-    pub fn price(&self) -> u64 {
-        self.price
+    pub fn cost(&self) -> u64 {
+        self.cost
     }
 
     /// What costs most of that, in words.
-    pub fn dearest(&self) -> &str {
-        &self.index.dearest
+    pub fn costliest(&self) -> &str {
+        &self.index.costliest
     }
 
     /// The bounds under which it was compiled.
@@ -346,8 +356,8 @@
     }
 
     /// Rules that are looked at for every request.
-    pub fn unfound(&self) -> usize {
-        self.index.unfound
+    pub fn unindexed(&self) -> usize {
+        self.index.unindexed
     }
 
     /// Regular expressions, and bytes of their automata.
@@ -367,12 +377,12 @@
 
     /// Whether a limit of this number is stated.
     pub fn has_limit(&self, id: u64) -> bool {
-        self.rules.iter().any(|r| r.limit_id == id && r.says.limit.is_some())
+        self.rules.iter().any(|r| r.limit_id == id && r.actions.limit.is_some())
     }
 
     /// What the rules come to for a request that [fits](Request::fits) the bounds. With `COUNTED` the steps in fact taken
     /// are in [`Scratch::steps`].
-    pub fn rule<const COUNTED: bool>(&self, scratch: &mut Scratch, request: &Request) -> Ruling {
+    pub fn evaluate<const COUNTED: bool>(&self, scratch: &mut Scratch, request: &Request) -> Ruling {
         scratch.limits.clear();
         let Scratch { machine, bits, .. } = scratch;
         machine.begin(&self.program, request);
@@ -396,7 +406,7 @@
                     Ok(Value::Bool(true)) => {}
                     Ok(_) => continue,
                     Err(_) => {
-                        ruling.faults += 1;
+                        ruling.without_value += 1;
                         continue;
                     }
                 }
@@ -421,8 +431,8 @@
     ) {
         let Scratch { machine, limits, keys, .. } = scratch;
         let subject = self.subject::<COUNTED>(rule, machine, request);
-        ruling.faults += u32::from(rule.subject.is_some() && subject.is_none());
-        if let Some((rate, burst)) = rule.bound.limit {
+        ruling.without_value += u32::from(rule.subject.is_some() && subject.is_none());
+        if let Some((rate, burst)) = rule.bound_actions.limit {
             let mut hasher = SipHasher13::new_with_keys(keys.0, keys.1);
             hasher.write_u64(rule.limit_id);
             match rule.limit_key.map(|part| machine.run::<COUNTED>(&self.program, part, request)) {
@@ -433,12 +443,12 @@
                     hasher.write(machine.text(&self.program, request, slice).as_bytes());
                 }
                 // Without a value all such requests share one key, which limits them together.
-                Some(_) => ruling.faults += 1,
+                Some(_) => ruling.without_value += 1,
                 None => {}
             }
             limits.push((Limit { rule: rule.limit_id, rate, burst }, hasher.finish()));
         }
-        ruling.add(&rule.bound, subject);
+        ruling.add(&rule.bound_actions, subject);
     }
 
     /// A rule's subject, by a hash without a key of this front's own: fronts that placed a subject differently would send
@@ -460,15 +470,15 @@
     }
 
     /// The conditions as syntax trees, for [`Set::plainly`].
-    pub fn trees(&self) -> Vec<Expr> {
+    pub fn syntax_trees(&self) -> Vec<Expr> {
         self.rules.iter().filter_map(|r| parse(&r.text).ok()).collect()
     }
 
     /// The rules that hold, found by trying each in turn with the syntax tree as it stands.
-    pub fn plainly(&self, trees: &[Expr], request: &Request) -> Vec<usize> {
+    pub fn matches_interpreted(&self, trees: &[Expr], request: &Request) -> Vec<usize> {
         let holds = |tree: &Expr| {
-            let value = direct::value(tree, request, &self.program.regexes, &self.headers);
-            value == Some(direct::Plain::Bool(true))
+            let value = interpreter::value(tree, request, &self.program.regexes, &self.headers);
+            value == Some(interpreter::Value::Bool(true))
         };
         let all = (0..trees.len()).filter(|n| holds(&trees[*n]));
         match self.order {
@@ -479,7 +489,7 @@
 
     /// The rules that hold, by the compiled conditions, tried each in turn without the index: the way that is faster than
     /// the plain one and slower than [`Set::rule`].
-    pub fn in_turn(&self, scratch: &mut Scratch, request: &Request) -> Vec<usize> {
+    pub fn matches_sequential(&self, scratch: &mut Scratch, request: &Request) -> Vec<usize> {
         scratch.machine.begin(&self.program, request);
         let mut out = Vec::new();
         for (n, rule) in self.rules.iter().enumerate() {
@@ -494,7 +504,7 @@
     }
 
     /// The rules that hold, by the index and the compiled conditions.
-    pub fn found(&self, scratch: &mut Scratch, request: &Request) -> Vec<usize> {
+    pub fn matches_indexed(&self, scratch: &mut Scratch, request: &Request) -> Vec<usize> {
         let Scratch { machine, bits, .. } = scratch;
         machine.begin(&self.program, request);
         self.index.find::<false>(&self.program, machine, request, bits);
@@ -510,13 +520,13 @@
     }
 
     /// What each rule came to that the index found, or that `all` of them came to.
-    pub fn explain(&self, scratch: &mut Scratch, request: &Request, all: bool) -> Vec<Explained> {
+    pub fn explain(&self, scratch: &mut Scratch, request: &Request, all: bool) -> Vec<RuleExplanation> {
         let Scratch { machine, bits, .. } = scratch;
         machine.begin(&self.program, request);
         self.index.find::<false>(&self.program, machine, request, bits);
-        let found = |n: usize| bits[n / 64] >> (n % 64) & 1 == 1;
-        let value = |e: &Expr| direct::value(e, request, &self.program.regexes, &self.headers);
-        let rules = self.rules.iter().enumerate().filter(|(n, _)| all || found(*n));
+        let is_candidate = |n: usize| bits[n / 64] >> (n % 64) & 1 == 1;
+        let value = |e: &Expr| interpreter::value(e, request, &self.program.regexes, &self.headers);
+        let rules = self.rules.iter().enumerate().filter(|(n, _)| all || is_candidate(*n));
         rules
             .filter_map(|(n, rule)| {
                 let tree = parse(&rule.text).ok()?;
@@ -526,19 +536,24 @@
                 };
                 let told =
                     |e: &Expr| (e.to_string(), value(e).map_or("no value".to_owned(), |v| v.to_string()));
-                let held = match value(&tree) {
-                    Some(direct::Plain::Bool(b)) => Some(b),
+                let matched = match value(&tree) {
+                    Some(interpreter::Value::Bool(b)) => Some(b),
                     _ => None,
                 };
                 let parts = parts.iter().map(told).collect();
-                Some(Explained { name: rule.name.clone(), held, found: found(n), parts })
+                Some(RuleExplanation {
+                    name: rule.name.clone(),
+                    matched,
+                    is_candidate: is_candidate(n),
+                    parts,
+                })
             })
             .collect()
     }
 
     /// What the expressions of a rule's subject and limit come to.
-    pub fn says(&self, rule: usize) -> &Says {
-        &self.rules[rule].says
+    pub fn actions(&self, rule: usize) -> &RuleActions {
+        &self.rules[rule].actions
     }
 
     /// A rule's name.
@@ -557,7 +572,7 @@
 
 impl Scratch {
     /// For one set. `seed` keeps clients from foreseeing which keys of limits fall together.
-    pub fn new(set: &Set, seed: u64) -> Self {
+    pub fn new(set: &RuleSet, seed: u64) -> Self {
         let bits = Vec::with_capacity(set.rules.len().div_ceil(64));
         let keys = (seed, seed.rotate_left(32) ^ 0x9e37_79b9_7f4a_7c15);
         Self { machine: Machine::new(&set.program), bits, limits: Vec::new(), keys }
@@ -585,25 +600,25 @@
 /// The dearest operation of a rule.
 #[derive(Default)]
 struct Dear {
-    price: u64,
+    cost: u64,
     at: Span,
-    piece: Piece,
+    rule_part: RulePart,
     text: String,
 }
 
 impl Dear {
-    fn note(&mut self, (price, at): (u64, Span), piece: Piece, text: &str) {
-        if price > self.price {
-            (self.price, self.at, self.piece, self.text) = (price, at, piece, text.to_owned());
+    fn note(&mut self, (cost, at): (u64, Span), rule_part: RulePart, text: &str) {
+        if cost > self.cost {
+            (self.cost, self.at, self.rule_part, self.text) = (cost, at, rule_part, text.to_owned());
         }
     }
 }
 
 /// A piece of a text, cut to a length that fits a line.
 fn shown(text: &str, at: Span) -> String {
-    let piece = text.get(at.from..at.to).unwrap_or(text);
-    let short: String = piece.chars().take(60).collect();
-    if short.len() < piece.len() {
+    let excerpt = text.get(at.from..at.to).unwrap_or(text);
+    let short: String = excerpt.chars().take(60).collect();
+    if short.len() < excerpt.len() {
         format!("`{short}...`")
     } else {
         format!("`{short}`")
@@ -644,7 +659,7 @@
     (Some(out), whole)
 }
 
-fn warnings(pool: &Pool, source: &SetSource, conditions: &[TermId]) -> Vec<Warning> {
+fn warnings(pool: &Pool, source: &RuleSetSource, conditions: &[TermId]) -> Vec<Warning> {
     let mut out = Vec::new();
     let name = |n: usize| &source.rules[n].name;
     for (n, condition) in conditions.iter().enumerate() {
@@ -669,11 +684,11 @@
     out
 }
 
-impl std::fmt::Debug for Set {
+impl std::fmt::Debug for RuleSet {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("Set")
             .field("rules", &self.rules.len())
-            .field("price", &self.price)
+            .field("price", &self.cost)
             .finish_non_exhaustive()
     }
 }
--- a/crates/yarrowspoke-expr/src/terms.rs
+++ b/crates/yarrowspoke-expr/src/terms.rs
@@ -1,6 +1,6 @@
 //! Typed terms, each kept once however many rules hold it.
 
-use crate::bounds::{self, Bounds, BUILT_MOST, METHOD_MOST, NAME_MOST};
+use crate::bounds::{self, Bounds, MAX_BUILT_BYTES, MAX_METHOD_BYTES, MAX_NAME_BYTES};
 use crate::syntax::{put_duration, put_text};
 use std::collections::HashMap;
 use std::fmt;
@@ -276,7 +276,7 @@
     fn learn(&self, term: &Term) -> Facts {
         let f = |id: &TermId| &self.facts[*id as usize];
         let most = |id: &TermId| f(id).most;
-        let Bounds { target, header, .. } = self.bounds;
+        let Bounds { max_target_bytes: target, max_header_bytes: header, .. } = self.bounds;
         let (ty, bytes, own, builds) = match term {
             Term::Bool(_) => (Type::Bool, 0, 1, 0),
             Term::Int(_, basic) => (Type::Plain(*basic), 0, 1, 0),
@@ -284,9 +284,9 @@
             Term::Field(field) => {
                 let ty = FIELDS.iter().find(|x| x.1 == *field).map_or(TEXT, |x| x.2);
                 let bytes = match field {
-                    Field::Method => METHOD_MOST,
+                    Field::Method => MAX_METHOD_BYTES,
                     Field::Path | Field::Target | Field::Key => target,
-                    Field::Class | Field::Tenant => NAME_MOST,
+                    Field::Class | Field::Tenant => MAX_NAME_BYTES,
                     _ => 0,
                 };
                 (ty, bytes, if *field == Field::Key { bounds::scan(target) } else { 1 }, 0)
@@ -323,7 +323,7 @@
                 (ty, most(a).max(most(b)), 1, 0)
             }
             Term::Hash(a) => (INT, 0, bounds::lookup(most(a)), 0),
-            Term::ToInt(_) => (Type::Maybe(Basic::Int), 0, bounds::scan(bounds::DIGITS_MOST), 0),
+            Term::ToInt(_) => (Type::Maybe(Basic::Int), 0, bounds::scan(bounds::MAX_INT_BYTES), 0),
             Term::Lower(a) => (TEXT, most(a), bounds::scan(most(a)), most(a)),
         };
         let parts = parts_of(term);
@@ -334,7 +334,7 @@
 
     /// Whether a built text stays within its bound.
     pub fn fits(&self, id: TermId) -> bool {
-        self.facts(id).builds <= BUILT_MOST
+        self.facts(id).builds <= MAX_BUILT_BYTES
     }
 
     /// A term as the language would write it, as far as it has a text of its own.
--- a/crates/yarrowspoke-expr/tests/buckets.rs
+++ b/crates/yarrowspoke-expr/tests/buckets.rs
@@ -113,6 +113,6 @@
     assert!(buckets.take(S, &[(slower, 1)]).is_err());
     // 1.05 s at the new rate, 0.05 s of them not there yet: one token.
     assert_eq!((0..9).filter(|_| buckets.take(S + 1_050_000, &[(slower, 1)]).is_ok()).count(), 1);
-    buckets.keep_rules(|rule| rule != 1);
+    buckets.retain_rules(|rule| rule != 1);
     assert!(buckets.take(S + 1_050_000, &[(slower, 1)]).is_err(), "the key's own bucket stays");
 }
--- a/crates/yarrowspoke-expr/tests/common/mod.rs
+++ b/crates/yarrowspoke-expr/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use yarrowspoke_expr::bounds::Bounds;
 use yarrowspoke_expr::request::Request;
-use yarrowspoke_expr::ruling::{RuleFault, Says};
-use yarrowspoke_expr::set::{Order, RuleSource, Scratch, Set, SetSource};
+use yarrowspoke_expr::ruling::{RuleActions, RuleFault};
+use yarrowspoke_expr::set::{Order, RuleSet, RuleSetSource, RuleSource, Scratch};
 
 pub const NO_HEADERS: &[Option<String>] = &[];
 
@@ -24,28 +24,32 @@
 }
 
 pub fn rule(name: &str, when: &str) -> RuleSource {
-    let says = Says { once: true, ..Says::default() };
-    RuleSource { name: name.into(), when: when.into(), says }
+    let actions = RuleActions { at_most_once: true, ..RuleActions::default() };
+    RuleSource { name: name.into(), when: when.into(), actions }
 }
 
-pub fn source(order: Order, whens: &[&str]) -> SetSource {
+pub fn source(order: Order, whens: &[&str]) -> RuleSetSource {
     let rules = whens.iter().enumerate().map(|(n, w)| rule(&format!("r{n}"), w)).collect();
-    SetSource { order, bounds: Bounds::default(), rules }
+    RuleSetSource { order, bounds: Bounds::default(), rules }
 }
 
-pub fn compile(order: Order, whens: &[&str]) -> Result<Set, Vec<RuleFault>> {
-    Set::compile(&source(order, whens))
+pub fn compile(order: Order, whens: &[&str]) -> Result<RuleSet, Vec<RuleFault>> {
+    RuleSet::compile(&source(order, whens))
 }
 
 /// Whether a single condition holds.
 pub fn holds(when: &str, request: &Request) -> bool {
     let set = compile(Order::All, &[when]).unwrap_or_else(|f| panic!("{when}: {f:?}"));
     let mut scratch = Scratch::new(&set, 1);
-    let by_index = set.found(&mut scratch, request);
-    assert_eq!(by_index, set.plainly(&set.trees(), request), "{when}: the two ways differ");
-    assert_eq!(by_index, set.in_turn(&mut scratch, request), "{when}: the index lost it");
-    let ruling = set.rule::<true>(&mut scratch, request);
-    assert!(scratch.steps() <= set.price(), "{when}: {} steps of {}", scratch.steps(), set.price());
+    let by_index = set.matches_indexed(&mut scratch, request);
+    assert_eq!(
+        by_index,
+        set.matches_interpreted(&set.syntax_trees(), request),
+        "{when}: the two ways differ"
+    );
+    assert_eq!(by_index, set.matches_sequential(&mut scratch, request), "{when}: the index lost it");
+    let ruling = set.evaluate::<true>(&mut scratch, request);
+    assert!(scratch.steps() <= set.cost(), "{when}: {} steps of {}", scratch.steps(), set.cost());
     assert_eq!(ruling.matched as usize, by_index.len());
     !by_index.is_empty()
 }
--- a/crates/yarrowspoke-expr/tests/hostile.rs
+++ b/crates/yarrowspoke-expr/tests/hostile.rs
@@ -5,9 +5,9 @@
 use common::{compile, refused, request, rule};
 use proptest::prelude::*;
 use yarrowspoke_expr::bounds::Bounds;
-use yarrowspoke_expr::parse::{parse, DEPTH_MOST, TEXT_MOST};
-use yarrowspoke_expr::ruling::Says;
-use yarrowspoke_expr::set::{Order, RuleSource, Scratch, Set, SetSource};
+use yarrowspoke_expr::parse::{parse, MAX_DEPTH, MAX_EXPRESSION_BYTES};
+use yarrowspoke_expr::ruling::RuleActions;
+use yarrowspoke_expr::set::{Order, RuleSet, RuleSetSource, RuleSource, Scratch};
 
 #[test]
 fn deep_and_long_texts_are_refused() {
@@ -16,25 +16,25 @@
         deep("(", ")", 100_000),
         deep("(", ")", 2_000),
         deep("!", "", 4_000),
-        deep("!(", ")", DEPTH_MOST),
+        deep("!(", ")", MAX_DEPTH),
         deep("true ? true : ", "", 500),
         "[".repeat(5_000),
         "a[".repeat(3_000),
         format!("length{}", " - 1".repeat(1_000)),
         format!("class{} == ''", ".lowerAscii()".repeat(200)),
         "x".repeat(1_000_000),
-        format!("class == '{}'", "a".repeat(TEXT_MOST)),
+        format!("class == '{}'", "a".repeat(MAX_EXPRESSION_BYTES)),
         vec!["true"; 1_500].join("&&")
             + "|| ("
             + &vec!["true"; 100].join("||")
             + ")"
-            + &" ".repeat(TEXT_MOST),
+            + &" ".repeat(MAX_EXPRESSION_BYTES),
     ] {
         let fault = refused(&text);
         assert!(!fault.expected.is_empty() && fault.found.len() < 200, "{fault:?}");
     }
     // What is just deep enough is read.
-    assert!(parse(&deep("(", ")", DEPTH_MOST - 1)).is_ok());
+    assert!(parse(&deep("(", ")", MAX_DEPTH - 1)).is_ok());
 }
 
 #[test]
@@ -81,7 +81,7 @@
         (0..3_000).map(|n| format!("segments[1].orValue('') == 's{n}' && path.contains('y{n}')")).collect();
     let found: Vec<&str> = found.iter().map(String::as_str).collect();
     let set = compile(Order::First, &found).unwrap_or_else(|f| panic!("{f:?}"));
-    assert!(set.price() < 8_000, "{}", set.price());
+    assert!(set.cost() < 8_000, "{}", set.cost());
 }
 
 #[test]
@@ -90,16 +90,16 @@
         let more = if n % 10 == 0 { format!(" && path.matches('^/a/s{n}/[0-9]+$')") } else { String::new() };
         rule(&format!("r{n}"), &format!("segments[1].orValue('') == 's{n}'{more}"))
     });
-    let source = SetSource { order: Order::First, bounds: Bounds::default(), rules: rules.collect() };
-    let set = Set::compile(&source).unwrap_or_else(|f| panic!("{f:?}"));
+    let source = RuleSetSource { order: Order::First, bounds: Bounds::default(), rules: rules.collect() };
+    let set = RuleSet::compile(&source).unwrap_or_else(|f| panic!("{f:?}"));
     assert_eq!(set.regexes().0, 1_000);
-    assert!(set.bytes() <= source.bounds.bytes, "{} bytes", set.bytes());
+    assert!(set.bytes() <= source.bounds.max_bytes, "{} bytes", set.bytes());
     let mut scratch = Scratch::new(&set, 1);
-    assert_eq!(set.found(&mut scratch, &request("/a/s4210/77")), [4210]);
-    assert_eq!(set.found(&mut scratch, &request("/a/s4210/x")), []);
+    assert_eq!(set.matches_indexed(&mut scratch, &request("/a/s4210/77")), [4210]);
+    assert_eq!(set.matches_indexed(&mut scratch, &request("/a/s4210/x")), []);
     // With less memory allowed it is refused, before all patterns are made.
-    let less = SetSource { bounds: Bounds { bytes: 500_000, ..source.bounds }, ..source };
-    let faults = Set::compile(&less).err().unwrap();
+    let less = RuleSetSource { bounds: Bounds { max_bytes: 500_000, ..source.bounds }, ..source };
+    let faults = RuleSet::compile(&less).err().unwrap();
     assert!(
         faults[0].found.contains("regular expressions of") && faults[0].rule.unwrap() < 9_000,
         "{faults:?}"
@@ -127,21 +127,22 @@
         let again = parse(&tree.to_string()).unwrap_or_else(|f| panic!("{text:?} prints as {tree}: {f}"));
         assert_eq!(again.to_string(), tree.to_string(), "{text:?}");
     }
-    let says = Says { subject: Some(text.to_owned()), once: true, ..Says::default() };
-    let rules = vec![rule("a", text), RuleSource { name: "b".into(), when: "true".into(), says }];
+    let actions =
+        RuleActions { subject: Some(text.to_owned()), at_most_once: true, ..RuleActions::default() };
+    let rules = vec![rule("a", text), RuleSource { name: "b".into(), when: "true".into(), actions }];
     for rules in [rules.clone(), rules[..1].to_vec(), rules[1..].to_vec()] {
-        let source = SetSource { order: Order::All, bounds: Bounds::default(), rules };
-        let Ok(set) = Set::compile(&source) else { continue };
+        let source = RuleSetSource { order: Order::All, bounds: Bounds::default(), rules };
+        let Ok(set) = RuleSet::compile(&source) else { continue };
         let mut scratch = Scratch::new(&set, 1);
         for target in ["/", "/article/sport/7?key=a&x=9", "//%00//?&&=&key", "/\u{e9}/\u{1f600}?key=\u{e9}"] {
             let request = request(target);
             assert_eq!(
-                set.found(&mut scratch, &request),
-                set.plainly(&set.trees(), &request),
+                set.matches_indexed(&mut scratch, &request),
+                set.matches_interpreted(&set.syntax_trees(), &request),
                 "{text:?} on {target:?}"
             );
-            set.rule::<true>(&mut scratch, &request);
-            assert!(scratch.steps() <= set.price(), "{text:?} on {target:?}");
+            set.evaluate::<true>(&mut scratch, &request);
+            assert!(scratch.steps() <= set.cost(), "{text:?} on {target:?}");
         }
     }
 }
--- a/crates/yarrowspoke-expr/tests/sets.rs
+++ b/crates/yarrowspoke-expr/tests/sets.rs
@@ -6,8 +6,8 @@
 use yarrowspoke::interface::{Class, DedupScope, Idempotency};
 use yarrowspoke_expr::bounds::Bounds;
 use yarrowspoke_expr::request::TooLong;
-use yarrowspoke_expr::ruling::{LimitSource, Says, World};
-use yarrowspoke_expr::set::{Order, RuleSource, Scratch, Set, SetSource};
+use yarrowspoke_expr::ruling::{Deployment, LimitSource, RuleActions};
+use yarrowspoke_expr::set::{Order, RuleSet, RuleSetSource, RuleSource, Scratch};
 
 fn class(effect: Idempotency, scope: DedupScope) -> Class {
     Class {
@@ -42,8 +42,8 @@
         Self { classes: names, facts, one: vec!["a".into()] }
     }
 
-    fn world(&self) -> World<'_> {
-        World {
+    fn deployment(&self) -> Deployment<'_> {
+        Deployment {
             class_names: &self.classes,
             classes: &self.facts,
             tenants: &self.one,
@@ -55,13 +55,13 @@
     }
 }
 
-fn says(when: &str, says: Says) -> SetSource {
-    let rules = vec![RuleSource { name: "r".into(), when: when.into(), says }];
-    SetSource { rules, ..SetSource::default() }
+fn actions(when: &str, actions: RuleActions) -> RuleSetSource {
+    let rules = vec![RuleSource { name: "r".into(), when: when.into(), actions }];
+    RuleSetSource { rules, ..RuleSetSource::default() }
 }
 
-fn named(class: &str) -> Says {
-    Says { class: Some(class.into()), ..Says::default() }
+fn named(class: &str) -> RuleActions {
+    RuleActions { class: Some(class.into()), ..RuleActions::default() }
 }
 
 #[test]
@@ -70,56 +70,58 @@
     let r = request("/article/1");
     let mut set = compile(Order::First, &whens).unwrap();
     let mut scratch = Scratch::new(&set, 1);
-    assert_eq!(set.found(&mut scratch, &r), [1]);
+    assert_eq!(set.matches_indexed(&mut scratch, &r), [1]);
     set = compile(Order::All, &whens).unwrap();
     scratch = Scratch::new(&set, 1);
-    assert_eq!(set.found(&mut scratch, &r), [1, 2, 3]);
-    assert_eq!(set.rule::<false>(&mut scratch, &r).matched, 3);
+    assert_eq!(set.matches_indexed(&mut scratch, &r), [1, 2, 3]);
+    assert_eq!(set.evaluate::<false>(&mut scratch, &r).matched, 3);
 }
 
 #[test]
 fn the_tightest_bound_and_the_first_name_hold() {
     let names = Names::new();
-    let mut set = SetSource { order: Order::All, ..SetSource::default() };
-    let mut add = |says: Says| {
+    let mut set = RuleSetSource { order: Order::All, ..RuleSetSource::default() };
+    let mut add = |actions: RuleActions| {
         let name = format!("r{}", set.rules.len());
-        set.rules.push(RuleSource { name, when: "true".into(), says });
+        set.rules.push(RuleSource { name, when: "true".into(), actions });
     };
-    add(Says {
+    add(RuleActions {
         attempts: Some(3),
         budget: Some(500),
         refuse: Some(10),
         zone: Some("a".into()),
-        ..Says::default()
+        ..RuleActions::default()
     });
-    add(Says { attempts: Some(2), budget: Some(900), refuse: Some(20), ..named("other") });
-    add(Says { once: true, subject: Some("class".into()), ..named("once") });
-    add(Says { subject: Some("path".into()), attempts: Some(4), ..named("safe") });
-    let mut set = Set::compile(&set).unwrap();
+    add(RuleActions { attempts: Some(2), budget: Some(900), refuse: Some(20), ..named("other") });
+    add(RuleActions { at_most_once: true, subject: Some("class".into()), ..named("once") });
+    add(RuleActions { subject: Some("path".into()), attempts: Some(4), ..named("safe") });
+    let mut set = RuleSet::compile(&set).unwrap();
     // The last rule would count an effect as safe.
-    assert!(set.bind(&names.world()).is_err());
-    let world = World { class_names: &names.classes[..2], classes: &names.facts[..2], ..names.world() };
-    let faults = set.bind(&world).unwrap_err();
+    assert!(set.bind(&names.deployment()).is_err());
+    let deployment =
+        Deployment { class_names: &names.classes[..2], classes: &names.facts[..2], ..names.deployment() };
+    let faults = set.bind(&deployment).unwrap_err();
     assert!(faults[0].found.contains("\"once\"") && faults[0].expected.contains("safe, other"), "{faults:?}");
     let mut source = source(Order::All, &["true", "true"]);
-    source.rules[0].says = Says { attempts: Some(3), budget: Some(500), refuse: Some(10), ..named("other") };
-    source.rules[1].says = Says {
+    source.rules[0].actions =
+        RuleActions { attempts: Some(3), budget: Some(500), refuse: Some(10), ..named("other") };
+    source.rules[1].actions = RuleActions {
         attempts: Some(2),
         budget: Some(900),
         refuse: Some(20),
         subject: Some("class".into()),
         ..named("safe")
     };
-    let mut set = Set::compile(&source).unwrap();
-    set.bind(&world).unwrap();
+    let mut set = RuleSet::compile(&source).unwrap();
+    set.bind(&deployment).unwrap();
     let mut scratch = Scratch::new(&set, 1);
-    let ruling = set.rule::<false>(&mut scratch, &request("/safe"));
+    let ruling = set.evaluate::<false>(&mut scratch, &request("/safe"));
     assert_eq!(
-        (ruling.ruled.max_attempts, ruling.budget, ruling.ruled.refuse_with_retry_after),
+        (ruling.policy.max_attempts, ruling.budget, ruling.policy.refuse_with_retry_after),
         (Some(2), Some(500), Some(20))
     );
-    assert_eq!((ruling.ruled.value_class, ruling.ruled.at_most_once), (Some(1), false));
-    assert!(ruling.ruled.hash_key.is_some_and(|s| s != 0));
+    assert_eq!((ruling.policy.value_class, ruling.policy.at_most_once), (Some(1), false));
+    assert!(ruling.policy.hash_key.is_some_and(|s| s != 0));
 }
 
 #[test]
@@ -146,24 +148,24 @@
         ("true", "once", true),
         ("true", "safe", false),
     ] {
-        let mut set = Set::compile(&says(when, named(class))).unwrap();
-        assert_eq!(set.bind(&names.world()).is_ok(), right, "{when} as {class}");
+        let mut set = RuleSet::compile(&actions(when, named(class))).unwrap();
+        assert_eq!(set.bind(&names.deployment()).is_ok(), right, "{when} as {class}");
     }
-    let mut set = Set::compile(&says("true", named("once"))).unwrap();
-    set.bind(&names.world()).unwrap();
-    assert!(set.rule::<false>(&mut Scratch::new(&set, 1), &request("/safe")).ruled.at_most_once);
-    let more = Says { attempts: Some(9), ..Says::default() };
-    let mut set = Set::compile(&says("true", more)).unwrap();
-    let faults = set.bind(&names.world()).unwrap_err();
+    let mut set = RuleSet::compile(&actions("true", named("once"))).unwrap();
+    set.bind(&names.deployment()).unwrap();
+    assert!(set.evaluate::<false>(&mut Scratch::new(&set, 1), &request("/safe")).policy.at_most_once);
+    let more = RuleActions { attempts: Some(9), ..RuleActions::default() };
+    let mut set = RuleSet::compile(&actions("true", more)).unwrap();
+    let faults = set.bind(&names.deployment()).unwrap_err();
     assert!(faults[0].expected.contains("at most the settings' 4"), "{faults:?}");
-    for (says, word) in [
-        (Says { tenant: Some("b".into()), ..Says::default() }, "tenant \"b\""),
-        (Says { zone: Some("b".into()), ..Says::default() }, "zone \"b\""),
-        (Says { kind: Some("b".into()), ..Says::default() }, "kind \"b\""),
+    for (actions, word) in [
+        (RuleActions { tenant: Some("b".into()), ..RuleActions::default() }, "tenant \"b\""),
+        (RuleActions { zone: Some("b".into()), ..RuleActions::default() }, "zone \"b\""),
+        (RuleActions { kind: Some("b".into()), ..RuleActions::default() }, "kind \"b\""),
         (named("nothing"), "class \"nothing\""),
     ] {
-        let mut set = Set::compile(&self::says("true", says)).unwrap();
-        assert!(set.bind(&names.world()).unwrap_err()[0].found.contains(word));
+        let mut set = RuleSet::compile(&self::actions("true", actions)).unwrap();
+        assert!(set.bind(&names.deployment()).unwrap_err()[0].found.contains(word));
     }
 }
 
@@ -220,10 +222,10 @@
 #[test]
 fn a_set_that_refuses_everything_says_so() {
     let names = Names::new();
-    let refuse = Says { refuse: Some(1), ..Says::default() };
+    let refuse = RuleActions { refuse: Some(1), ..RuleActions::default() };
     let said = |when: &str| {
-        let mut set = Set::compile(&says(when, refuse.clone())).unwrap();
-        set.bind(&names.world()).unwrap();
+        let mut set = RuleSet::compile(&actions(when, refuse.clone())).unwrap();
+        set.bind(&names.deployment()).unwrap();
         set.warnings.iter().map(|w| w.text.clone()).collect::<Vec<_>>().join("; ")
     };
     assert!(said("true").contains("every request is refused"));
@@ -236,25 +238,25 @@
 fn names_once_and_no_empty_rule() {
     let mut two = source(Order::First, &["true", "true"]);
     two.rules[1].name = "r0".into();
-    assert!(Set::compile(&two).err().unwrap()[0].expected.contains("rule 1 has it"));
-    let faults = Set::compile(&says("true", Says::default())).err().unwrap();
+    assert!(RuleSet::compile(&two).err().unwrap()[0].expected.contains("rule 1 has it"));
+    let faults = RuleSet::compile(&actions("true", RuleActions::default())).err().unwrap();
     assert!(faults[0].found.contains("says nothing"), "{faults:?}");
-    let many = SetSource {
+    let many = RuleSetSource {
         rules: (0..20_001).map(|n| rule(&n.to_string(), "true")).collect(),
-        ..SetSource::default()
+        ..RuleSetSource::default()
     };
-    assert!(Set::compile(&many).err().unwrap()[0].expected.contains("at most 20000"));
+    assert!(RuleSet::compile(&many).err().unwrap()[0].expected.contains("at most 20000"));
 }
 
 #[test]
 fn a_request_over_the_bounds_is_known_before_it_is_looked_at() {
-    let bounds = Bounds { target: 10, header: 3, ..Bounds::default() };
-    assert_eq!(request("/123456789").fits(&bounds), Ok(()));
-    assert_eq!(request("/1234567890").fits(&bounds), Err(TooLong::Target));
+    let bounds = Bounds { max_target_bytes: 10, max_header_bytes: 3, ..Bounds::default() };
+    assert_eq!(request("/123456789").check_size(&bounds), Ok(()));
+    assert_eq!(request("/1234567890").check_size(&bounds), Err(TooLong::Target));
     let headers = [None, Some("1234".to_owned())];
     let mut r = request("/a");
     r.headers = &headers;
-    assert_eq!(r.fits(&bounds), Err(TooLong::Header));
+    assert_eq!(r.check_size(&bounds), Err(TooLong::Header));
 }
 
 #[test]
@@ -262,13 +264,14 @@
     let names = Names::new();
     let limit = |key: Option<&str>| LimitSource { key: key.map(str::to_owned), rate: 10.0, burst: 8.0 };
     let mut two = source(Order::All, &["true", "true"]);
-    two.rules[0].says = Says { limit: Some(limit(Some("segments[1].orValue('')"))), ..Says::default() };
-    two.rules[1].says = Says { limit: Some(limit(None)), ..Says::default() };
-    let mut set = Set::compile(&two).unwrap();
-    set.bind(&names.world()).unwrap();
+    two.rules[0].actions =
+        RuleActions { limit: Some(limit(Some("segments[1].orValue('')"))), ..RuleActions::default() };
+    two.rules[1].actions = RuleActions { limit: Some(limit(None)), ..RuleActions::default() };
+    let mut set = RuleSet::compile(&two).unwrap();
+    set.bind(&names.deployment()).unwrap();
     let mut scratch = Scratch::new(&set, 7);
     let mut keys = |target: &str| {
-        set.rule::<false>(&mut scratch, &request(target));
+        set.evaluate::<false>(&mut scratch, &request(target));
         let keys: Vec<u64> = scratch.limits().iter().map(|l| l.1).collect();
         assert!(scratch.limits().iter().all(|l| (l.0.rate, l.0.burst) == (5.0, 4.0)));
         keys
@@ -278,7 +281,7 @@
     assert!(a[0] != b[0] && a[1] == b[1] && a[0] != a[1]);
     assert_ne!(a, {
         let mut other = Scratch::new(&set, 8);
-        set.rule::<false>(&mut other, &request("/x/a"));
+        set.evaluate::<false>(&mut other, &request("/x/a"));
         other.limits().iter().map(|l| l.1).collect::<Vec<_>>()
     });
 }
--- a/crates/yarrowspoke-front/src/classify.rs
+++ b/crates/yarrowspoke-front/src/classify.rs
@@ -9,15 +9,15 @@
 use yarrowspoke::interface::Micros;
 use yarrowspoke_expr::buckets::Buckets;
 use yarrowspoke_expr::request::{Request, TooLong};
-use yarrowspoke_expr::ruling::World;
-use yarrowspoke_expr::set::{Scratch, Set};
+use yarrowspoke_expr::ruling::Deployment;
+use yarrowspoke_expr::set::{RuleSet, Scratch};
 use yarrowspoke_operator::rules::Rules;
 use yarrowspoke_settings::Settings;
 
 /// A compiled rule set in use.
 pub struct LoadedRules {
     /// Compiled rules.
-    pub set: Set,
+    pub set: RuleSet,
     scratch: RefCell<Scratch>,
 }
 
@@ -69,15 +69,15 @@
         if self.max_buckets.replace(rules.buckets) != rules.buckets {
             *buckets = Buckets::new(rules.buckets);
         }
-        buckets.keep_rules(|id| rules.set.has_limit(id));
+        buckets.retain_rules(|id| rules.set.has_limit(id));
         let (set, (patterns, automata)) = (&rules.set, rules.set.regexes());
         log::info!(
             "rules: {} in force, up to {} steps a request, {} bytes; {patterns} patterns of {automata} bytes, {} rules \
              evaluated for every request",
             set.len(),
-            set.price(),
+            set.cost(),
             set.bytes(),
-            set.unfound(),
+            set.unindexed(),
         );
         for (line, column, text) in rules.warnings() {
             log::warn!("rules: {line}:{column}: {text}");
@@ -99,7 +99,7 @@
         let mut counts = self.counts.get();
         counts.evaluated += 1;
         let request = as_request(call, headers, names);
-        if let Err(too_long) = request.fits(loaded.set.bounds()) {
+        if let Err(too_long) = request.check_size(loaded.set.bounds()) {
             counts.too_long += 1;
             self.counts.set(counts);
             return Err(match too_long {
@@ -108,10 +108,10 @@
             });
         }
         let scratch = &mut *loaded.scratch.borrow_mut();
-        let ruling = loaded.set.rule::<false>(scratch, &request);
+        let ruling = loaded.set.evaluate::<false>(scratch, &request);
         counts.matched += u64::from(ruling.matched > 0);
-        counts.without_value += u64::from(ruling.faults);
-        let mut policy = ruling.ruled;
+        counts.without_value += u64::from(ruling.without_value);
+        let mut policy = ruling.policy;
         counts.refused += u64::from(policy.refuse_with_retry_after.is_some());
         if policy.refuse_with_retry_after.is_none() && !scratch.limits().is_empty() {
             policy.refuse_with_retry_after = self.buckets.borrow_mut().take(now, scratch.limits()).err();
@@ -164,9 +164,9 @@
 }
 
 /// Returns the names and bounds of a deployment to which rules are bound.
-pub fn rule_context(settings: &Settings) -> World<'_> {
+pub fn rule_context(settings: &Settings) -> Deployment<'_> {
     let (names, module) = (&settings.names, &settings.module);
-    World {
+    Deployment {
         class_names: &names.classes,
         classes: &module.classes,
         tenants: &names.tenants,
--- a/crates/yarrowspoke-front/src/cli.rs
+++ b/crates/yarrowspoke-front/src/cli.rs
@@ -325,12 +325,12 @@
         "rules: {}, at most {} steps a request of {} allowed (most expensive rule: {}); {} bytes of {}, {patterns} patterns of \
          {automata} bytes among them; {} evaluated for every request; {} keys of limits",
         set.len(),
-        set.price(),
-        set.bounds().steps,
-        set.dearest(),
+        set.cost(),
+        set.bounds().max_steps,
+        set.costliest(),
         set.bytes(),
-        set.bounds().bytes,
-        set.unfound(),
+        set.bounds().max_bytes,
+        set.unindexed(),
         rules.buckets,
     );
     for (line, column, warning) in rules.warnings() {
--- a/crates/yarrowspoke-front/src/explain.rs
+++ b/crates/yarrowspoke-front/src/explain.rs
@@ -70,25 +70,25 @@
         }
     };
     let request = as_request(&call, &headers, &names);
-    if let Err(too_long) = request.fits(set.bounds()) {
+    if let Err(too_long) = request.check_size(set.bounds()) {
         return Err(format!("{shown}: answered with 414 or 431: {too_long:?} over the bounds of the rules"));
     }
     let mut scratch = Scratch::new(set, 0);
     let mut out = String::new();
     let explained = set.explain(&mut scratch, &request, all);
     for rule in &explained {
-        let result = match rule.held {
+        let result = match rule.matched {
             Some(true) => "holds",
             Some(false) => "does not hold",
             None => "has no value",
         };
-        let note = if rule.found { "" } else { ", and was not evaluated" };
+        let note = if rule.is_candidate { "" } else { ", and was not evaluated" };
         let _ = writeln!(out, "rule {}: {result}{note}", rule.name);
         for (part, value) in &rule.parts {
             let _ = writeln!(out, "    {part}  =  {value}");
         }
     }
-    let ruling = set.rule::<true>(&mut scratch, &request);
+    let ruling = set.evaluate::<true>(&mut scratch, &request);
     let steps = scratch.steps();
     if ruling.matched == 0 {
         let _ = writeln!(out, "no rule applies to it");
@@ -99,14 +99,14 @@
     let _ = writeln!(
         out,
         "cost: {steps} steps, the bound is {} (most expensive rule: {})",
-        set.price(),
-        set.dearest()
+        set.cost(),
+        set.costliest()
     );
     Ok(out)
 }
 
 fn write_policy(out: &mut String, ruling: &yarrowspoke_expr::ruling::Ruling, names: &Names, limits: usize) {
-    let policy = &ruling.ruled;
+    let policy = &ruling.policy;
     let seconds = |us: u64| format!("{:.3} s", us as f64 / 1e6);
     let name = |all: &[String], n: usize| all.get(n).cloned().unwrap_or_else(|| n.to_string());
     let lines = [
--- a/crates/yarrowspoke-lab/src/rules/draw.rs
+++ b/crates/yarrowspoke-lab/src/rules/draw.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use yarrowspoke_expr::request::Request;
-use yarrowspoke_expr::ruling::{LimitSource, Says};
+use yarrowspoke_expr::ruling::{LimitSource, RuleActions};
 use yarrowspoke_expr::set::RuleSource;
 
 /// Sections of the stand-in newspapers.
@@ -154,20 +154,24 @@
                 "segments[1].orValue('') == '{id}' && path.matches('^/[a-z]+/{id}/[0-9]{{1,6}}(/amp)?$')"
             );
         }
-        let says = match self.rng.gen_range(0..6) {
-            0 => Says { once: true, ..Says::default() },
-            1 => Says { attempts: Some(1), ..Says::default() },
-            2 => Says { budget: Some(700_000), ..Says::default() },
-            3 => {
-                Says { subject: Some("class + ':' + segments[1].orValue('')".to_owned()), ..Says::default() }
-            }
-            4 => Says { refuse: Some(500_000), ..Says::default() },
+        let actions = match self.rng.gen_range(0..6) {
+            0 => RuleActions { at_most_once: true, ..RuleActions::default() },
+            1 => RuleActions { attempts: Some(1), ..RuleActions::default() },
+            2 => RuleActions { budget: Some(700_000), ..RuleActions::default() },
+            3 => RuleActions {
+                subject: Some("class + ':' + segments[1].orValue('')".to_owned()),
+                ..RuleActions::default()
+            },
+            4 => RuleActions { refuse: Some(500_000), ..RuleActions::default() },
             _ => {
                 let key = Some("segments[1].orValue('') + tenant".to_owned());
-                Says { limit: Some(LimitSource { key, rate: 50.0, burst: 10.0 }), ..Says::default() }
+                RuleActions {
+                    limit: Some(LimitSource { key, rate: 50.0, burst: 10.0 }),
+                    ..RuleActions::default()
+                }
             }
         };
-        RuleSource { name: format!("rule-{n}"), when, says }
+        RuleSource { name: format!("rule-{n}"), when, actions }
     }
 
     /// The few rules that nothing finds by a constant.
@@ -179,7 +183,11 @@
             3 => "size(segments) > 12".to_owned(),
             _ => "hint.orValue(0s) > 250ms && method != 'GET'".to_owned(),
         };
-        RuleSource { name: format!("general-{n}"), when, says: Says { attempts: Some(2), ..Says::default() } }
+        RuleSource {
+            name: format!("general-{n}"),
+            when,
+            actions: RuleActions { attempts: Some(2), ..RuleActions::default() },
+        }
     }
 
     // ---- Odd rules -----------------------------------------------------------------------------------
@@ -280,7 +288,11 @@
     pub fn odd(&mut self, n: usize) -> RuleSource {
         let depth = self.rng.gen_range(0..4);
         let when = self.condition(depth);
-        RuleSource { name: format!("odd-{n}"), when, says: Says { once: true, ..Says::default() } }
+        RuleSource {
+            name: format!("odd-{n}"),
+            when,
+            actions: RuleActions { at_most_once: true, ..RuleActions::default() },
+        }
     }
 
     // ---- Hostile rules -------------------------------------------------------------------------------
--- a/crates/yarrowspoke-lab/src/rules/fuzz.rs
+++ b/crates/yarrowspoke-lab/src/rules/fuzz.rs
@@ -10,8 +10,8 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use yarrowspoke_expr::bounds::Bounds;
 use yarrowspoke_expr::parse::parse;
-use yarrowspoke_expr::ruling::Says;
-use yarrowspoke_expr::set::{Order, RuleSource, Scratch, Set, SetSource};
+use yarrowspoke_expr::ruling::RuleActions;
+use yarrowspoke_expr::set::{Order, RuleSet, RuleSetSource, RuleSource, Scratch};
 
 /// Requests that each drawn set is tried on.
 const REQUESTS: usize = 12;
@@ -51,29 +51,29 @@
 }
 
 fn marked(n: usize, when: &str) -> RuleSource {
-    let says = Says { once: true, ..Says::default() };
-    RuleSource { name: format!("r{n}"), when: when.to_owned(), says }
+    let actions = RuleActions { at_most_once: true, ..RuleActions::default() };
+    RuleSource { name: format!("r{n}"), when: when.to_owned(), actions }
 }
 
 /// Tries a set on drawn requests: every way must find the same rules, within the bound.
-fn agree(set: &Set, draw: &mut Draw, most: usize, report: &mut Report) -> Result<(), String> {
-    let trees = set.trees();
+fn agree(set: &RuleSet, draw: &mut Draw, most: usize, report: &mut Report) -> Result<(), String> {
+    let trees = set.syntax_trees();
     let mut scratch = Scratch::new(set, 1);
     for _ in 0..REQUESTS {
         let drawn = draw.request(most, 40);
         let headers = drawn.headers(set.headers());
         let request = drawn.request(&headers);
-        let plain = set.plainly(&trees, &request);
-        let found = set.found(&mut scratch, &request);
-        let in_turn = set.in_turn(&mut scratch, &request);
-        let ruling = set.rule::<true>(&mut scratch, &request);
+        let plain = set.matches_interpreted(&trees, &request);
+        let found = set.matches_indexed(&mut scratch, &request);
+        let in_turn = set.matches_sequential(&mut scratch, &request);
+        let ruling = set.evaluate::<true>(&mut scratch, &request);
         report.requests += 1;
         report.met += u64::from(!plain.is_empty());
         if found != plain || in_turn != plain || ruling.matched as usize != plain.len() {
             return Err(format!("{found:?} by the index, {in_turn:?} in turn, {plain:?} plainly: {drawn:?}"));
         }
-        if scratch.steps() > set.price() {
-            return Err(format!("{} steps of {} computed: {drawn:?}", scratch.steps(), set.price()));
+        if scratch.steps() > set.cost() {
+            return Err(format!("{} steps of {} computed: {drawn:?}", scratch.steps(), set.cost()));
         }
     }
     Ok(())
@@ -84,12 +84,12 @@
     let mut report = Report { sets: 1, ..Report::default() };
     let mut draw = Draw::new(seed);
     let order = if seed.is_multiple_of(2) { Order::First } else { Order::All };
-    let bounds = Bounds { steps: 1_000_000, target: 300, ..Bounds::default() };
-    let compile = |rules| Set::compile(&SetSource { order, bounds, rules });
+    let bounds = Bounds { max_steps: 1_000_000, max_target_bytes: 300, ..Bounds::default() };
+    let compile = |rules| RuleSet::compile(&RuleSetSource { order, bounds, rules });
     // A division by a constant 0 is drawn now and then; it is refused at load.
     let rules = (0..rules).map(|n| draw.odd(n)).filter(|r| compile(vec![r.clone()]).is_ok()).collect();
     let tried = match compile(rules) {
-        Ok(set) => agree(&set, &mut draw, bounds.target, &mut report),
+        Ok(set) => agree(&set, &mut draw, bounds.max_target_bytes, &mut report),
         Err(faults) => Err(format!("refused: {faults:?}")),
     };
     report.failures.extend(tried.err().map(|e| format!("set of seed {seed}: {e}")));
@@ -119,8 +119,8 @@
             }
             _ => {
                 let to = rng.gen_range(at..=text.len());
-                let piece: Vec<char> = text[at..to].to_vec();
-                text.splice(at..at, piece);
+                let rule_part: Vec<char> = text[at..to].to_vec();
+                text.splice(at..at, rule_part);
             }
         }
     }
@@ -148,11 +148,11 @@
             return Err(format!("prints as {printed}, then as {again}"));
         }
     }
-    let bounds = Bounds { target: 200, ..Bounds::default() };
-    let source = SetSource { order: Order::All, bounds, rules: vec![marked(0, text), marked(1, "true")] };
-    let Ok(set) = Set::compile(&source) else { return Ok(()) };
+    let bounds = Bounds { max_target_bytes: 200, ..Bounds::default() };
+    let source = RuleSetSource { order: Order::All, bounds, rules: vec![marked(0, text), marked(1, "true")] };
+    let Ok(set) = RuleSet::compile(&source) else { return Ok(()) };
     report.accepted += 1;
-    agree(&set, &mut Draw::new(seed), bounds.target, report)
+    agree(&set, &mut Draw::new(seed), bounds.max_target_bytes, report)
 }
 
 /// Tries `sets` drawn sets and `texts` changed texts, in parallel; `done` is told of each.
--- a/crates/yarrowspoke-lab/src/rules/mod.rs
+++ b/crates/yarrowspoke-lab/src/rules/mod.rs
@@ -11,8 +11,8 @@
 use serde::Serialize;
 use std::time::Instant;
 use yarrowspoke_expr::bounds::Bounds;
-use yarrowspoke_expr::ruling::Says;
-use yarrowspoke_expr::set::{Order, RuleSource, Scratch, Set, SetSource};
+use yarrowspoke_expr::ruling::RuleActions;
+use yarrowspoke_expr::set::{Order, RuleSet, RuleSetSource, RuleSource, Scratch};
 
 /// One rule in so many has a regular expression.
 const PATTERN_EVERY: usize = 10;
@@ -85,12 +85,12 @@
 }
 
 /// A set as engineers would write it.
-pub fn everyday(draw: &mut Draw, rules: usize, order: Order) -> SetSource {
+pub fn everyday(draw: &mut Draw, rules: usize, order: Order) -> RuleSetSource {
     let mut all: Vec<RuleSource> = (0..GENERAL.min(rules)).map(|n| draw.general(n)).collect();
     all.extend((all.len()..rules).map(|n| draw.everyday(n, n % PATTERN_EVERY == 0)));
     // Room for the rules that all look at one constant, as all of one section do.
-    let bounds = Bounds { steps: 50_000, bytes: 16 * 1024 * 1024, ..Bounds::default() };
-    SetSource { order, bounds, rules: all }
+    let bounds = Bounds { max_steps: 50_000, max_bytes: 16 * 1024 * 1024, ..Bounds::default() };
+    RuleSetSource { order, bounds, rules: all }
 }
 
 /// Offers every hostile text beside a set that is right: how many there were, which were accepted, and the longest
@@ -102,10 +102,10 @@
     for (name, text) in &texts {
         let mut set = everyday(draw, 20, Order::First);
         set.bounds = Bounds::default();
-        let says = Says { once: true, ..Says::default() };
-        set.rules.push(RuleSource { name: "hostile".to_owned(), when: text.clone(), says });
+        let actions = RuleActions { at_most_once: true, ..RuleActions::default() };
+        set.rules.push(RuleSource { name: "hostile".to_owned(), when: text.clone(), actions });
         let begun = Instant::now();
-        if Set::compile(&set).is_ok() {
+        if RuleSet::compile(&set).is_ok() {
             accepted.push(*name);
         }
         longest = longest.max(begun.elapsed().as_secs_f64() * 1e3);
@@ -119,10 +119,10 @@
     let (hostile, accepted, refusal_max_ms) = offer_hostile(&mut draw);
     let source = everyday(&mut draw, options.rules, options.order);
     let begun = Instant::now();
-    let set = Set::compile(&source).map_err(|f| format!("the set is refused: {f:?}"))?;
+    let set = RuleSet::compile(&source).map_err(|f| format!("the set is refused: {f:?}"))?;
     let compile_ms = begun.elapsed().as_secs_f64() * 1e3;
     let requests: Vec<Drawn> =
-        (0..options.requests).map(|_| draw.request(source.bounds.target, options.rules)).collect();
+        (0..options.requests).map(|_| draw.request(source.bounds.max_target_bytes, options.rules)).collect();
     let mut scratch = Scratch::new(&set, options.seed);
     let mut report = Report {
         seed: options.seed,
@@ -133,7 +133,7 @@
         accepted,
         refusal_max_ms,
         compile_ms,
-        static_bound_steps: set.price(),
+        static_bound_steps: set.cost(),
         worst_steps_seen: 0,
         requests: requests.len(),
         disagreed: 0,
@@ -146,16 +146,17 @@
         bytes: set.bytes(),
     };
     // Counted, and held against the ways without an index.
-    let trees = set.trees();
+    let trees = set.syntax_trees();
     for (n, drawn) in requests.iter().enumerate() {
         let headers = drawn.headers(set.headers());
         let request = drawn.request(&headers);
-        let ruling = set.rule::<true>(&mut scratch, &request);
+        let ruling = set.evaluate::<true>(&mut scratch, &request);
         report.worst_steps_seen = report.worst_steps_seen.max(scratch.steps());
         report.matched += usize::from(ruling.matched > 0);
         if n < PLAIN_REQUESTS {
-            let found = set.found(&mut scratch, &request);
-            let same = found == set.in_turn(&mut scratch, &request) && found == set.plainly(&trees, &request);
+            let found = set.matches_indexed(&mut scratch, &request);
+            let same = found == set.matches_sequential(&mut scratch, &request)
+                && found == set.matches_interpreted(&trees, &request);
             report.disagreed += usize::from(!same);
         }
         done();
@@ -166,7 +167,7 @@
         let headers = drawn.headers(set.headers());
         let request = drawn.request(&headers);
         let begun = Instant::now();
-        std::hint::black_box(set.rule::<false>(&mut scratch, &request));
+        std::hint::black_box(set.evaluate::<false>(&mut scratch, &request));
         times.push(begun.elapsed().as_secs_f64() * 1e6);
         done();
     }
@@ -179,11 +180,11 @@
     };
     report.naive_ratio = timed(&mut |scratch, drawn| {
         let headers = drawn.headers(set.headers());
-        std::hint::black_box(set.in_turn(scratch, &drawn.request(&headers)));
+        std::hint::black_box(set.matches_sequential(scratch, &drawn.request(&headers)));
     });
     report.walk_ratio = timed(&mut |_, drawn| {
         let headers = drawn.headers(set.headers());
-        std::hint::black_box(set.plainly(&trees, &drawn.request(&headers)));
+        std::hint::black_box(set.matches_interpreted(&trees, &drawn.request(&headers)));
     });
     times.sort_by(f64::total_cmp);
     let at = |p: f64| times.get(((times.len() as f64 * p) as usize).min(times.len().saturating_sub(1)));
--- a/crates/yarrowspoke-lab/src/scale/cli.rs
+++ b/crates/yarrowspoke-lab/src/scale/cli.rs
@@ -143,7 +143,7 @@
         let mut of = if self.small { Sizes::small() } else { Sizes::whole() };
         sizes("fronts", self.fronts.as_ref(), 2 * target::FRONTS, &mut of.fronts)?;
         sizes("machines", self.machines.as_ref(), 2 * target::MACHINES, &mut of.machines)?;
-        sizes("routes", self.routes.as_ref(), yarrowspoke_expr::bounds::RULES_MOST, &mut of.routes)?;
+        sizes("routes", self.routes.as_ref(), yarrowspoke_expr::bounds::MAX_RULES, &mut of.routes)?;
         sizes("tenants", self.tenants.as_ref(), 10 * target::TENANTS, &mut of.tenants)?;
         let mut rates = Vec::new();
         sizes("rates", self.rates.as_ref(), 10_000, &mut rates)?;
--- a/crates/yarrowspoke-lab/src/scale/pure/rules.rs
+++ b/crates/yarrowspoke-lab/src/scale/pure/rules.rs
@@ -6,20 +6,20 @@
 use crate::scale::report::Report;
 use crate::scale::run::Options;
 use yarrowspoke_expr::bounds::Bounds;
-use yarrowspoke_expr::set::{Order, Scratch, Set, SetSource};
+use yarrowspoke_expr::set::{Order, RuleSet, RuleSetSource, Scratch};
 
 /// The widest bounds that an operator's file may state.
 const WIDEST: (u64, usize) = (1_000_000, 1_000_000_000);
 
 /// A drawn set of so many rules.
-pub fn source(rules: usize, seed: u64) -> SetSource {
+pub fn source(rules: usize, seed: u64) -> RuleSetSource {
     everyday(&mut Draw::new(seed), rules, Order::First)
 }
 
 /// The set compiled under the widest bounds.
-pub fn compiled(source: &SetSource) -> Result<Set, String> {
-    let bounds = Bounds { steps: WIDEST.0, bytes: WIDEST.1, ..source.bounds };
-    Set::compile(&SetSource { bounds, ..source.clone() }).map_err(|faults| match faults.first() {
+pub fn compiled(source: &RuleSetSource) -> Result<RuleSet, String> {
+    let bounds = Bounds { max_steps: WIDEST.0, max_bytes: WIDEST.1, ..source.bounds };
+    RuleSet::compile(&RuleSetSource { bounds, ..source.clone() }).map_err(|faults| match faults.first() {
         Some(f) => format!("found {}, expected {}", f.found, f.expected),
         None => "refused without a reason".to_owned(),
     })
@@ -36,8 +36,8 @@
     for rules in &options.sizes.routes {
         tick(&format!("rules, {rules} routes"));
         let (size, source) = (*rules as f64, source(*rules, options.seed));
-        let plain = SetSource { bounds: Bounds::default(), ..source.clone() };
-        if let Err(faults) = Set::compile(&plain) {
+        let plain = RuleSetSource { bounds: Bounds::default(), ..source.clone() };
+        if let Err(faults) = RuleSet::compile(&plain) {
             let why = faults
                 .first()
                 .map_or(String::new(), |f| format!("found {}, expected {}", f.found, f.expected));
@@ -54,15 +54,16 @@
             }
         };
         load.push((size, 1e3 * took));
-        worst.push((size, set.price() as f64));
+        worst.push((size, set.cost() as f64));
         let mut draw = Draw::new(options.seed);
-        let drawn: Vec<Drawn> = (0..requests).map(|_| draw.request(source.bounds.target, *rules)).collect();
+        let drawn: Vec<Drawn> =
+            (0..requests).map(|_| draw.request(source.bounds.max_target_bytes, *rules)).collect();
         let mut scratch = Scratch::new(&set, options.seed);
         let mut pass = || {
             let (took, ()) = timed(|| {
                 for drawn in &drawn {
                     let headers = drawn.headers(set.headers());
-                    std::hint::black_box(set.rule::<false>(&mut scratch, &drawn.request(&headers)));
+                    std::hint::black_box(set.evaluate::<false>(&mut scratch, &drawn.request(&headers)));
                 }
             });
             1e6 * took / requests as f64
--- a/crates/yarrowspoke-operator/src/rules.rs
+++ b/crates/yarrowspoke-operator/src/rules.rs
@@ -3,8 +3,8 @@
 use crate::read::{within, Form};
 use crate::Fault;
 use yarrowspoke_expr::bounds::Bounds;
-use yarrowspoke_expr::ruling::{LimitSource, Piece, RuleFault, Says, World};
-use yarrowspoke_expr::set::{Order, RuleSource, Set, SetSource};
+use yarrowspoke_expr::ruling::{Deployment, LimitSource, RuleActions, RuleFault, RulePart};
+use yarrowspoke_expr::set::{Order, RuleSet, RuleSetSource, RuleSource};
 
 /// Keys of limits that are counted apart, if the file says nothing.
 const BUCKETS: usize = 8_192;
@@ -12,7 +12,7 @@
 /// The section, compiled.
 pub struct Rules {
     /// The compiled set.
-    pub set: Set,
+    pub set: RuleSet,
     /// Keys of limits that are counted apart.
     pub buckets: usize,
     places: Places,
@@ -33,16 +33,16 @@
 
 impl Places {
     fn fault(&self, f: RuleFault) -> Fault {
-        let piece = match f.piece {
-            Piece::When => 0,
-            Piece::Subject => 1,
-            Piece::LimitKey => 2,
-            Piece::Whole => 3,
+        let rule_part = match f.rule_part {
+            RulePart::When => 0,
+            RulePart::Subject => 1,
+            RulePart::LimitKey => 2,
+            RulePart::Whole => 3,
         };
         let rule = f.rule.and_then(|n| self.rules.get(n));
-        let at = rule.and_then(|r| r[piece]);
+        let at = rule.and_then(|r| r[rule_part]);
         let (line, column) = match at {
-            Some(at) if piece < 3 => within(&self.text, at, f.at.from),
+            Some(at) if rule_part < 3 => within(&self.text, at, f.at.from),
             Some(at) => at,
             None => self.section,
         };
@@ -52,9 +52,9 @@
 
 impl Rules {
     /// Turns names into a deployment's positions; refuses what would loosen its guards.
-    pub fn bind(&mut self, world: &World) -> Result<(), Vec<Fault>> {
+    pub fn bind(&mut self, deployment: &Deployment) -> Result<(), Vec<Fault>> {
         let places = &self.places;
-        self.set.bind(world).map_err(|faults| faults.into_iter().map(|f| places.fault(f)).collect())
+        self.set.bind(deployment).map_err(|faults| faults.into_iter().map(|f| places.fault(f)).collect())
     }
 
     /// What is odd in the set, each with its line and column.
@@ -69,7 +69,7 @@
 /// Reads and compiles the section.
 pub fn rules(section: &Form, text: &str, faults: &mut Vec<Fault>) -> Option<Rules> {
     let before = faults.len();
-    let mut source = SetSource::default();
+    let mut source = RuleSetSource::default();
     let mut places = Places { text: text.to_owned(), section: section.place(), rules: Vec::new() };
     let mut buckets = BUCKETS;
     let mut once: Vec<String> = Vec::new();
@@ -92,22 +92,22 @@
             "steps" => {
                 let wanted = "steps for a request, 100 to 1000000";
                 let steps = field.whole(wanted, faults, |n| (100..=1_000_000).contains(&n));
-                bounds.steps = steps.unwrap_or(bounds.steps);
+                bounds.max_steps = steps.unwrap_or(bounds.max_steps);
             }
             "target" => {
                 let wanted = "bytes of path and query, 16 to 8192";
                 let bytes = field.whole(wanted, faults, |n| (16..=8_192).contains(&n));
-                bounds.target = bytes.map_or(bounds.target, |n| n as usize);
+                bounds.max_target_bytes = bytes.map_or(bounds.max_target_bytes, |n| n as usize);
             }
             "header" => {
                 let wanted = "bytes of a header that rules read, 8 to 8192";
                 let bytes = field.whole(wanted, faults, |n| (8..=8_192).contains(&n));
-                bounds.header = bytes.map_or(bounds.header, |n| n as usize);
+                bounds.max_header_bytes = bytes.map_or(bounds.max_header_bytes, |n| n as usize);
             }
             "bytes" => {
                 let wanted = "bytes of the compiled set, 10000 to 1000000000";
                 let bytes = field.whole(wanted, faults, |n| (10_000..=1_000_000_000).contains(&n));
-                bounds.bytes = bytes.map_or(bounds.bytes, |n| n as usize);
+                bounds.max_bytes = bytes.map_or(bounds.max_bytes, |n| n as usize);
             }
             "buckets" => {
                 let wanted = "keys of limits counted apart, 2 to 1000000";
@@ -127,7 +127,7 @@
     if faults.len() > before {
         return None;
     }
-    match Set::compile(&source) {
+    match RuleSet::compile(&source) {
         Ok(set) => Some(Rules { set, buckets, places }),
         Err(found) => {
             faults.extend(found.into_iter().map(|f| places.fault(f)));
@@ -151,7 +151,7 @@
         return None;
     };
     let mut when = None;
-    let mut says = Says::default();
+    let mut actions = RuleActions::default();
     let mut place: Place = [None, None, None, Some(form.place())];
     let fields = form.fields_behind(1, faults);
     for (n, field) in fields.iter().enumerate() {
@@ -166,30 +166,30 @@
                 place[0] = Some(field.value_place());
             }
             "subject" => {
-                says.subject = field.text(expression, faults);
+                actions.subject = field.text(expression, faults);
                 place[1] = Some(field.value_place());
             }
-            "class" => says.class = field.word("a class's name", faults),
-            "tenant" => says.tenant = field.word("a tenant's name", faults),
-            "zone" => says.zone = field.word("a zone's name", faults),
-            "kind" => says.kind = field.word("a kind of machine", faults),
+            "class" => actions.class = field.word("a class's name", faults),
+            "tenant" => actions.tenant = field.word("a tenant's name", faults),
+            "zone" => actions.zone = field.word("a zone's name", faults),
+            "kind" => actions.kind = field.word("a kind of machine", faults),
             "effect" => {
                 let wanted = "once: a rule can only make a request unrepeatable";
                 let word = field.take(wanted, faults, |v| v.as_symbol().filter(|s| *s == "once").map(|_| ()));
-                says.once = word.is_some();
+                actions.at_most_once = word.is_some();
             }
             "attempts" => {
                 let most = field.whole("attempts, 1 to 100", faults, |n| (1..=100).contains(&n));
-                says.attempts = most.map(|n| n as u32);
+                actions.attempts = most.map(|n| n as u32);
             }
             "budget" => {
                 let wanted = "seconds, above 0 and at most 3600";
                 let s = field.number(wanted, faults, |s| s > 0.0 && s <= 3_600.0);
-                says.budget = s.map(|s| ((s * 1e6) as u64).max(1));
+                actions.budget = s.map(|s| ((s * 1e6) as u64).max(1));
             }
-            "refuse" => says.refuse = seconds(field, faults),
+            "refuse" => actions.refuse = seconds(field, faults),
             "limit" => {
-                says.limit = limit(field, &mut place, faults);
+                actions.limit = limit(field, &mut place, faults);
             }
             _ => faults.push(field.fault(
                 "one of the fields: when, class, effect, subject, tenant, attempts, limit, zone, kind, budget, refuse",
@@ -199,7 +199,7 @@
     if !fields.iter().any(|f| f.name == "when") {
         faults.push(form.fault("the field when in it"));
     }
-    Some((RuleSource { name, when: when?, says }, place))
+    Some((RuleSource { name, when: when?, actions }, place))
 }
 
 fn limit(form: &Form, place: &mut Place, faults: &mut Vec<Fault>) -> Option<LimitSource> {
--- a/crates/yarrowspoke-operator/tests/faults.rs
+++ b/crates/yarrowspoke-operator/tests/faults.rs
@@ -72,9 +72,9 @@
 fn rules_are_read_whole() {
     let rules = parse(RULES).unwrap_or_else(|f| panic!("{f:?}")).rules.unwrap();
     assert_eq!((rules.set.len(), rules.set.name(1)), (2, "election night"));
-    let says = rules.set.says(1);
-    assert_eq!((says.budget, says.kind.as_deref()), (Some(800_000), Some("big one")));
-    assert_eq!(says.limit.as_ref().map(|l| (l.rate, l.burst)), Some((20.0, 5.0)));
+    let actions = rules.set.actions(1);
+    assert_eq!((actions.budget, actions.kind.as_deref()), (Some(800_000), Some("big one")));
+    assert_eq!(actions.limit.as_ref().map(|l| (l.rate, l.burst)), Some((20.0, 5.0)));
     assert!(parse("(verdicts)").is_err() && parse("").unwrap().rules.is_none());
 }
 
