--- a/crates/yarrowspoke-front/src/classify.rs
+++ b/crates/yarrowspoke-front/src/classify.rs
@@ -136,8 +136,8 @@
         (counts.evaluated > 0).then(|| {
             let percent = 100.0 * (counts.refused + counts.limited) as f64 / counts.evaluated as f64;
             format!(
-                "rules: requests {}, matched {}, refused {}, over a limit {} (together {percent:.1} % of requests), too long {}, without a \
-                 value {}, on shared buckets {shared}",
+                "rules: requests {}, matched {}, refused {}, over a limit {} (together {percent:.1} % of requests), \
+                 too long {}, without a value {}, on shared buckets {shared}",
                 counts.evaluated, counts.matched, counts.refused, counts.limited, counts.too_long, counts.without_value
             )
         })
--- a/crates/yarrowspoke-front/src/ledger_writer.rs
+++ b/crates/yarrowspoke-front/src/ledger_writer.rs
@@ -70,7 +70,8 @@
     /// Creates a writer for an open store.
     pub fn new(writer: Hand, settings: StoreSettings, front_settings: &Settings) -> Self {
         let class = |c: &yarrowspoke::interface::Class| {
-            // Machines forget an idempotency key after their deduplication window; the ledger must not forget it earlier.
+            // A group of machines forgets an idempotency key after its deduplication window; the ledger must not forget it
+            // earlier.
             let retention = if c.idempotency == Idempotency::Keyed {
                 c.dedup_window.max(settings.keep)
             } else {
