--- a/crates/yarrowspoke-fleet/src/planner.rs
+++ b/crates/yarrowspoke-fleet/src/planner.rs
@@ -238,7 +238,7 @@
         Some((record.incarnation, is_sound))
     }
 
-    /// Returns whether the holder of a permit was seen in service in a later incarnation than the one that holds it.
+    /// Returns whether the holder of a permit was seen in service in another incarnation than the one that holds it.
     ///
     /// This planner may not have heard of the holding incarnation yet, and would then take the one before it, which
     /// is dead by now, for a later one. So the front must have been alive after the permit was first known here.
