--- a/crates/yarrowspoke-expr/src/bounds.rs
+++ b/crates/yarrowspoke-expr/src/bounds.rs
@@ -45,26 +45,26 @@
 }
 
 /// Steps for bytes taken in chunks.
-pub fn chunks(bytes: usize) -> u64 {
+pub fn copy_cost(bytes: usize) -> u64 {
     bytes.div_ceil(CHUNK_BYTES) as u64
 }
 
 /// Steps for a comparison of texts of such lengths: no more is read than the shorter one has.
-pub fn compare(a: usize, b: usize) -> u64 {
-    1 + chunks(a.min(b))
+pub fn compare_cost(a: usize, b: usize) -> u64 {
+    1 + copy_cost(a.min(b))
 }
 
 /// Steps for a search in a sorted list of texts.
-pub fn search(entries: usize, longest: usize, text: usize) -> u64 {
-    (u64::from(usize::BITS - entries.leading_zeros()) + 1) * compare(longest, text)
+pub fn search_cost(entries: usize, longest: usize, text: usize) -> u64 {
+    (u64::from(usize::BITS - entries.leading_zeros()) + 1) * compare_cost(longest, text)
 }
 
 /// Steps for a look-up in a hash table.
-pub fn lookup(text: usize) -> u64 {
-    4 + 2 * chunks(text)
+pub fn lookup_cost(text: usize) -> u64 {
+    4 + 2 * copy_cost(text)
 }
 
 /// Steps for a pass that looks at each byte.
-pub fn scan(bytes: usize) -> u64 {
+pub fn scan_cost(bytes: usize) -> u64 {
     2 + bytes as u64
 }
--- a/crates/yarrowspoke-expr/src/buckets.rs
+++ b/crates/yarrowspoke-expr/src/buckets.rs
@@ -15,7 +15,7 @@
 use yarrowspoke::interface::Micros;
 
 /// Buckets that have gone longest without a request and are looked at for room, each time.
-const LOOKED_AT: usize = 4;
+const EVICTION_CANDIDATES: usize = 4;
 
 /// A limit as a rule states it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -30,8 +30,8 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    left: f64,
-    at: Micros,
+    tokens: f64,
+    updated_at: Micros,
     /// Requests turned away since one was last let through.
     rejected: f64,
     rate: f64,
@@ -40,29 +40,29 @@
 
 impl Bucket {
     fn new(now: Micros, limit: &Limit) -> Self {
-        Self { left: limit.burst, at: now, rejected: 0.0, rate: limit.rate, burst: limit.burst }
+        Self { tokens: limit.burst, updated_at: now, rejected: 0.0, rate: limit.rate, burst: limit.burst }
     }
 
     /// Tokens at a later time. Time that goes backwards brings none.
-    fn later(&self, now: Micros) -> f64 {
-        (self.left + self.rate * now.saturating_sub(self.at) as f64 / 1e6).min(self.burst)
+    fn tokens_at(&self, now: Micros) -> f64 {
+        (self.tokens + self.rate * now.saturating_sub(self.updated_at) as f64 / 1e6).min(self.burst)
     }
 
     fn is_full(&self, now: Micros) -> bool {
-        self.later(now) >= self.burst
+        self.tokens_at(now) >= self.burst
     }
 
     fn refill(&mut self, now: Micros, limit: &Limit) {
-        let left = self.later(now);
-        (self.left, self.at) = (left.min(limit.burst), self.at.max(now));
+        let tokens = self.tokens_at(now);
+        (self.tokens, self.updated_at) = (tokens.min(limit.burst), self.updated_at.max(now));
         // A reload may state others for the same rule.
         (self.rate, self.burst) = (limit.rate, limit.burst);
     }
 
     /// Time until a token is there for one more than were turned away. Danger: all that are told the same time come back
     /// together; so each is told a time by which the rate has served those before it.
-    fn wait(&mut self) -> Micros {
-        let missing = (1.0 + self.rejected - self.left).max(0.0);
+    fn next_retry_after(&mut self) -> Micros {
+        let missing = (1.0 + self.rejected - self.tokens).max(0.0);
         self.rejected += 1.0;
         (missing / self.rate * 1e6).min(1e15) as Micros
     }
@@ -70,9 +70,9 @@
 
 /// Where a key's bucket is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
-    Known,
-    Fresh,
+enum BucketLocation {
+    Returning,
+    New,
     Shared,
 }
 
@@ -89,50 +89,50 @@
 
 /// All buckets.
 pub struct Buckets {
-    known: LruCache<u64, Bucket>,
-    fresh: LruCache<u64, Bucket>,
+    returning: LruCache<u64, Bucket>,
+    new_keys: LruCache<u64, Bucket>,
     shared: HashMap<u64, Bucket>,
-    most: usize,
+    max_keys: usize,
     /// What was done since it was last asked.
     pub counts: BucketCounts,
 }
 
 impl Buckets {
-    /// An empty table for `most` keys, half of them for known ones.
-    pub fn new(most: usize) -> Self {
-        let half = NonZeroUsize::new(most / 2).unwrap_or(NonZeroUsize::MIN);
+    /// An empty table for `max_keys` keys, half of them for known ones.
+    pub fn new(max_keys: usize) -> Self {
+        let half = NonZeroUsize::new(max_keys / 2).unwrap_or(NonZeroUsize::MIN);
         Self {
-            known: LruCache::new(half),
-            fresh: LruCache::new(half),
+            returning: LruCache::new(half),
+            new_keys: LruCache::new(half),
             shared: HashMap::new(),
-            most: half.get(),
+            max_keys: half.get(),
             counts: BucketCounts::default(),
         }
     }
 
     /// Keys in the table.
     pub fn keys(&self) -> usize {
-        self.known.len() + self.fresh.len()
+        self.returning.len() + self.new_keys.len()
     }
 
     /// Takes one token of each of these buckets, or none and tells when to come back. `key` is a hash of the rule and its
     /// key, by a hash that clients cannot foresee.
-    pub fn take(&mut self, now: Micros, wanted: &[(Limit, u64)]) -> Result<(), Micros> {
-        let mut wait = None;
-        for (limit, key) in wanted {
-            let bucket = self.find(now, limit, *key);
-            if bucket.left < 1.0 {
-                wait = wait.max(Some(bucket.wait()));
+    pub fn take(&mut self, now: Micros, limits: &[(Limit, u64)]) -> Result<(), Micros> {
+        let mut retry_after = None;
+        for (limit, key) in limits {
+            let bucket = self.bucket(now, limit, *key);
+            if bucket.tokens < 1.0 {
+                retry_after = retry_after.max(Some(bucket.next_retry_after()));
             }
         }
-        if let Some(wait) = wait {
+        if let Some(retry_after) = retry_after {
             self.counts.rejected += 1;
-            return Err(wait);
+            return Err(retry_after);
         }
-        for (limit, key) in wanted {
-            let bucket = self.find(now, limit, *key);
+        for (limit, key) in limits {
+            let bucket = self.bucket(now, limit, *key);
             // Two limits of one request may share a bucket that has a single token left: it then goes below 0.
-            bucket.left -= 1.0;
+            bucket.tokens -= 1.0;
             bucket.rejected = (bucket.rejected - 1.0).max(0.0);
         }
         self.counts.admitted += 1;
@@ -140,12 +140,12 @@
     }
 
     /// The bucket of a key, filled up to now.
-    fn find(&mut self, now: Micros, limit: &Limit, key: u64) -> &mut Bucket {
-        let place = self.place(now, limit, key);
-        let bucket = match place {
-            Place::Known => self.known.get_mut(&key),
-            Place::Fresh => self.fresh.get_mut(&key),
-            Place::Shared => {
+    fn bucket(&mut self, now: Micros, limit: &Limit, key: u64) -> &mut Bucket {
+        let location = self.locate(now, limit, key);
+        let bucket = match location {
+            BucketLocation::Returning => self.returning.get_mut(&key),
+            BucketLocation::New => self.new_keys.get_mut(&key),
+            BucketLocation::Shared => {
                 self.counts.shared += 1;
                 None
             }
@@ -155,42 +155,43 @@
             None => self.shared.entry(limit.rule).or_insert_with(|| Bucket::new(now, limit)),
         };
         bucket.refill(now, limit);
-        if bucket.left >= bucket.burst {
+        if bucket.tokens >= bucket.burst {
             bucket.rejected = 0.0;
         }
         bucket
     }
 
-    fn place(&mut self, now: Micros, limit: &Limit, key: u64) -> Place {
-        if self.known.contains(&key) {
-            return Place::Known;
+    fn locate(&mut self, now: Micros, limit: &Limit, key: u64) -> BucketLocation {
+        if self.returning.contains(&key) {
+            return BucketLocation::Returning;
         }
-        if let Some(bucket) = self.fresh.peek(&key).copied() {
+        if let Some(bucket) = self.new_keys.peek(&key).copied() {
             // It comes back after its bucket had filled up: no flood, but somebody who was here before.
-            let returns = now > bucket.at && bucket.left < bucket.burst && bucket.is_full(now);
-            if returns && Self::room(&mut self.known, self.most, now) {
-                self.fresh.pop(&key);
-                self.known.put(key, bucket);
-                return Place::Known;
+            let returns = now > bucket.updated_at && bucket.tokens < bucket.burst && bucket.is_full(now);
+            if returns && Self::make_room(&mut self.returning, self.max_keys, now) {
+                self.new_keys.pop(&key);
+                self.returning.put(key, bucket);
+                return BucketLocation::Returning;
             }
-            return Place::Fresh;
+            return BucketLocation::New;
         }
-        if Self::room(&mut self.fresh, self.most, now) {
+        if Self::make_room(&mut self.new_keys, self.max_keys, now) {
             // Danger: it may have drawn on the shared bucket before, and a fresh burst would come on top of that.
             let mut bucket = Bucket::new(now, limit);
-            bucket.left = self.shared.get(&limit.rule).map_or(limit.burst, |s| s.later(now).min(limit.burst));
-            self.fresh.put(key, bucket);
-            return Place::Fresh;
+            bucket.tokens =
+                self.shared.get(&limit.rule).map_or(limit.burst, |s| s.tokens_at(now).min(limit.burst));
+            self.new_keys.put(key, bucket);
+            return BucketLocation::New;
         }
-        Place::Shared
+        BucketLocation::Shared
     }
 
     /// Whether one more fits, at most at the price of a full bucket that has rested long.
-    fn room(table: &mut LruCache<u64, Bucket>, most: usize, now: Micros) -> bool {
-        if table.len() < most {
+    fn make_room(table: &mut LruCache<u64, Bucket>, max_keys: usize, now: Micros) -> bool {
+        if table.len() < max_keys {
             return true;
         }
-        let full = table.iter().rev().take(LOOKED_AT).find(|b| b.1.is_full(now)).map(|b| *b.0);
+        let full = table.iter().rev().take(EVICTION_CANDIDATES).find(|b| b.1.is_full(now)).map(|b| *b.0);
         full.is_some_and(|key| table.pop(&key).is_some())
     }
 
--- a/crates/yarrowspoke-expr/src/check.rs
+++ b/crates/yarrowspoke-expr/src/check.rs
@@ -3,7 +3,9 @@
 use crate::bounds::{MAX_BUILT_BYTES, MAX_SEGMENTS};
 use crate::regexes::Regexes;
 use crate::syntax::{Binary, Expr, Fault, Kind, Span, Unary};
-use crate::terms::{Affix, Basic, Const, Math, Pool, Term, TermId, Type, DURATION, FIELDS, INT, TEXT};
+use crate::terms::{
+    ArithmeticOp, Const, Pool, ScalarType, Term, TermId, TextTest, Type, DURATION, FIELDS, INT, TEXT,
+};
 use std::sync::Arc;
 
 /// Functions, as they are called, with what they take and give.
@@ -33,11 +35,11 @@
 }
 
 impl Checker<'_> {
-    /// The term of an expression that must be of type `wanted`.
-    pub fn root(&mut self, expr: &Expr, wanted: Type) -> Result<TermId, Fault> {
-        let id = self.of(expr, wanted)?;
-        if !self.pool.fits(id) {
-            let bytes = self.pool.facts(id).builds;
+    /// The term of an expression that must be of type `expected`.
+    pub fn check_root(&mut self, expr: &Expr, expected: Type) -> Result<TermId, Fault> {
+        let id = self.check(expr, expected)?;
+        if !self.pool.built_text_fits(id) {
+            let bytes = self.pool.facts(id).built_bytes;
             let found = format_args!("strings of up to {bytes} bytes built for one request").to_string();
             return Err(Fault::new(expr.at, found, format_args!("at most {MAX_BUILT_BYTES}")));
         }
@@ -51,35 +53,37 @@
     /// Adds a term that `expr` stands for.
     fn add(&mut self, expr: &Expr, term: Term) -> TermId {
         let id = self.pool.add(term);
-        let own = self.pool.facts(id).own;
+        let own = self.pool.facts(id).own_cost;
         if own > self.costliest.0 {
             self.costliest = (own, expr.at);
         }
         id
     }
 
-    fn of(&mut self, expr: &Expr, wanted: Type) -> Result<TermId, Fault> {
+    fn check(&mut self, expr: &Expr, expected: Type) -> Result<TermId, Fault> {
         let id = self.term(expr)?;
-        self.is(expr, id, wanted)
+        self.expect_type(expr, id, expected)
     }
 
-    fn is(&self, expr: &Expr, id: TermId, wanted: Type) -> Result<TermId, Fault> {
+    fn expect_type(&self, expr: &Expr, id: TermId, expected: Type) -> Result<TermId, Fault> {
         let ty = self.ty(id);
-        if ty == wanted {
+        if ty == expected {
             return Ok(id);
         }
         let hint = match ty {
-            Type::Maybe(b) if Type::Plain(b) == wanted => ": add .orValue(...), or test it with has(...)",
+            Type::Optional(b) if Type::Present(b) == expected => {
+                ": add .orValue(...), or test it with has(...)"
+            }
             _ => "",
         };
-        Err(Fault::new(expr.at, format_args!("{expr}, of type {ty}"), format_args!("{wanted}{hint}")))
+        Err(Fault::new(expr.at, format_args!("{expr}, of type {ty}"), format_args!("{expected}{hint}")))
     }
 
     fn term(&mut self, expr: &Expr) -> Result<TermId, Fault> {
         let term = match &expr.kind {
             Kind::Bool(b) => Term::Bool(*b),
-            Kind::Int(n) => Term::Int(*n, Basic::Int),
-            Kind::Duration(us) => Term::Int(*us, Basic::Duration),
+            Kind::Int(n) => Term::Int(*n, ScalarType::Int),
+            Kind::Duration(us) => Term::Int(*us, ScalarType::Duration),
             Kind::Text(t) => Term::Text(Arc::from(t.as_str())),
             Kind::List(_) => return Err(Fault::new(expr.at, "a list", "it only behind 'in'")),
             Kind::Name(name) => match FIELDS.iter().find(|f| f.0 == name) {
@@ -89,7 +93,7 @@
             Kind::Index(of, at) => self.index(expr, of, at)?,
             Kind::Call { name, args, .. } => self.call(expr, name, args)?,
             Kind::Unary(Unary::Not, of) => {
-                let id = self.of(of, Type::Bool)?;
+                let id = self.check(of, Type::Bool)?;
                 match self.pool.term(id) {
                     Term::Not(inner) => return Ok(*inner),
                     Term::Bool(b) => Term::Bool(!b),
@@ -98,16 +102,16 @@
             }
             Kind::Unary(Unary::Neg, of) => {
                 let id = self.term(of)?;
-                let basic = self.number(of, id)?;
-                let zero = self.pool.add(Term::Int(0, basic));
-                Term::Math(Math::Sub, zero, id)
+                let scalar = self.number(of, id)?;
+                let zero = self.pool.add(Term::Int(0, scalar));
+                Term::Arithmetic(ArithmeticOp::Sub, zero, id)
             }
             Kind::Binary(op, a, b) => return self.binary(expr, *op, a, b),
             Kind::And(parts) | Kind::Or(parts) => {
                 let and = matches!(expr.kind, Kind::And(_));
                 let mut flat = Vec::new();
                 for part in parts {
-                    let id = self.of(part, Type::Bool)?;
+                    let id = self.check(part, Type::Bool)?;
                     match self.pool.term(id) {
                         Term::And(inner) if and => flat.extend(inner.clone()),
                         Term::Or(inner) if !and => flat.extend(inner.clone()),
@@ -123,12 +127,12 @@
                     (_, false) => Term::Or(flat),
                 }
             }
-            Kind::Choice(parts) => {
-                let test = self.of(&parts[0], Type::Bool)?;
+            Kind::Conditional(parts) => {
+                let test = self.check(&parts[0], Type::Bool)?;
                 let yes = self.term(&parts[1])?;
                 let ty = self.ty(yes);
-                let no = self.of(&parts[2], ty)?;
-                Term::Choice(test, yes, no)
+                let no = self.check(&parts[2], ty)?;
+                Term::Conditional(test, yes, no)
             }
         };
         Ok(self.add(expr, term))
@@ -147,8 +151,8 @@
         match (name.as_str(), &at.kind) {
             ("segments", Kind::Int(n)) if (0..MAX_SEGMENTS as i64).contains(n) => Ok(Term::Segment(*n as u8)),
             ("segments", _) => {
-                let wanted = format_args!("a segment's number from 0 to {}", MAX_SEGMENTS - 1).to_string();
-                Err(Fault::new(at.at, at, wanted))
+                let expected = format_args!("a segment's number from 0 to {}", MAX_SEGMENTS - 1).to_string();
+                Err(Fault::new(at.at, at, expected))
             }
             ("query", Kind::Text(name)) if !name.is_empty() => Ok(Term::Query(Arc::from(name.as_str()))),
             ("headers", Kind::Text(name)) if is_token(name) => {
@@ -167,7 +171,7 @@
     }
 
     fn call(&mut self, expr: &Expr, name: &str, args: &[Expr]) -> Result<Term, Fault> {
-        let wants = |n: usize| {
+        let expect_args = |n: usize| {
             if args.len() == n {
                 return Ok(());
             }
@@ -176,39 +180,39 @@
         };
         match name {
             "startsWith" | "endsWith" | "contains" => {
-                wants(2)?;
-                let (a, b) = (self.of(&args[0], TEXT)?, self.of(&args[1], TEXT)?);
+                expect_args(2)?;
+                let (a, b) = (self.check(&args[0], TEXT)?, self.check(&args[1], TEXT)?);
                 let affix = match name {
-                    "startsWith" => Affix::Starts,
-                    "endsWith" => Affix::Ends,
-                    _ => Affix::Holds,
+                    "startsWith" => TextTest::StartsWith,
+                    "endsWith" => TextTest::EndsWith,
+                    _ => TextTest::Contains,
                 };
-                Ok(Term::Affix(affix, a, b))
+                Ok(Term::TextTest(affix, a, b))
             }
             "matches" => {
-                wants(2)?;
-                let of = self.of(&args[0], TEXT)?;
+                expect_args(2)?;
+                let of = self.check(&args[0], TEXT)?;
                 let Kind::Text(pattern) = &args[1].kind else {
                     return Err(Fault::new(args[1].at, &args[1], "a pattern as a string in quotes"));
                 };
-                let pattern = self.regexes.add(pattern).map_err(|wanted| {
+                let pattern = self.regexes.add(pattern).map_err(|expected| {
                     let shown: String = pattern.chars().take(40).collect();
-                    Fault::new(args[1].at, format_args!("the pattern {shown:?}"), wanted)
+                    Fault::new(args[1].at, format_args!("the pattern {shown:?}"), expected)
                 })?;
                 Ok(Term::Matches(of, pattern))
             }
             "size" => {
-                wants(1)?;
+                expect_args(1)?;
                 if matches!(&args[0].kind, Kind::Name(n) if n == "segments") {
                     return Ok(Term::SegmentCount);
                 }
-                Ok(Term::Size(self.of(&args[0], TEXT)?))
+                Ok(Term::Size(self.check(&args[0], TEXT)?))
             }
             "has" => {
-                wants(1)?;
+                expect_args(1)?;
                 let of = self.term(&args[0])?;
                 match self.ty(of) {
-                    Type::Maybe(_) => Ok(Term::Has(of)),
+                    Type::Optional(_) => Ok(Term::Has(of)),
                     ty => Err(Fault::new(
                         args[0].at,
                         format_args!("{}, of type {ty}", args[0]),
@@ -217,26 +221,26 @@
                 }
             }
             "orValue" => {
-                wants(2)?;
+                expect_args(2)?;
                 let of = self.term(&args[0])?;
-                let Type::Maybe(basic) = self.ty(of) else {
+                let Type::Optional(scalar) = self.ty(of) else {
                     let found = format_args!("{}, of type {}", args[0], self.ty(of)).to_string();
                     return Err(Fault::new(args[0].at, found, "an optional value"));
                 };
-                let other = self.of(&args[1], Type::Plain(basic))?;
+                let other = self.check(&args[1], Type::Present(scalar))?;
                 Ok(Term::OrValue(of, other))
             }
             "hash" => {
-                wants(1)?;
-                Ok(Term::Hash(self.of(&args[0], TEXT)?))
+                expect_args(1)?;
+                Ok(Term::Hash(self.check(&args[0], TEXT)?))
             }
             "int" => {
-                wants(1)?;
-                Ok(Term::ToInt(self.of(&args[0], TEXT)?))
+                expect_args(1)?;
+                Ok(Term::ToInt(self.check(&args[0], TEXT)?))
             }
             "lowerAscii" => {
-                wants(1)?;
-                Ok(Term::Lower(self.of(&args[0], TEXT)?))
+                expect_args(1)?;
+                Ok(Term::LowerAscii(self.check(&args[0], TEXT)?))
             }
             _ => {
                 let known: Vec<&str> = FUNCTIONS[..10].iter().map(|f| f.0).collect();
@@ -245,9 +249,9 @@
         }
     }
 
-    fn number(&self, expr: &Expr, id: TermId) -> Result<Basic, Fault> {
+    fn number(&self, expr: &Expr, id: TermId) -> Result<ScalarType, Fault> {
         match self.ty(id) {
-            Type::Plain(basic @ (Basic::Int | Basic::Duration)) => Ok(basic),
+            Type::Present(scalar @ (ScalarType::Int | ScalarType::Duration)) => Ok(scalar),
             ty => Err(Fault::new(expr.at, format_args!("{expr}, of type {ty}"), "int or duration")),
         }
     }
@@ -260,11 +264,11 @@
         let ty = self.ty(left);
         let term = match op {
             Binary::Eq | Binary::Ne => {
-                let (Type::Plain(_) | Type::Bool) = ty else {
-                    let wanted = "a value that is there: add .orValue(...), or test it with has(...)";
-                    return Err(Fault::new(a.at, format_args!("{a}, of type {ty}"), wanted));
+                let (Type::Present(_) | Type::Bool) = ty else {
+                    let expected = "a value that is there: add .orValue(...), or test it with has(...)";
+                    return Err(Fault::new(a.at, format_args!("{a}, of type {ty}"), expected));
                 };
-                let right = self.of(b, ty)?;
+                let right = self.check(b, ty)?;
                 // A constant stands on the right, so that both ways of writing it are one term.
                 let constant =
                     |id: TermId| matches!(self.pool.term(id), Term::Bool(_) | Term::Int(..) | Term::Text(_));
@@ -277,7 +281,7 @@
                 }
             }
             Binary::Lt | Binary::Le | Binary::Gt | Binary::Ge => {
-                let (Type::Plain(_), right) = (ty, self.of(b, ty)?) else {
+                let (Type::Present(_), right) = (ty, self.check(b, ty)?) else {
                     return Err(Fault::new(
                         a.at,
                         format_args!("{a}, of type {ty}"),
@@ -292,7 +296,7 @@
                 }
             }
             Binary::Add if ty == TEXT => {
-                let right = self.of(b, TEXT)?;
+                let right = self.check(b, TEXT)?;
                 let mut parts = Vec::new();
                 for id in [left, right] {
                     match self.pool.term(id) {
@@ -303,21 +307,23 @@
                 Term::Concat(parts)
             }
             Binary::Add | Binary::Sub | Binary::Mul | Binary::Div | Binary::Rem => {
-                let basic = self.number(a, left)?;
+                let scalar = self.number(a, left)?;
                 // A span of time may be multiplied or divided by a number; all else is of one type.
-                let scaled = basic == Basic::Duration && matches!(op, Binary::Mul | Binary::Div);
-                let right = self.of(b, if scaled { INT } else { ty })?;
-                let math = match op {
-                    Binary::Add => Math::Add,
-                    Binary::Sub => Math::Sub,
-                    Binary::Mul => Math::Mul,
-                    Binary::Div => Math::Div,
-                    _ => Math::Rem,
+                let scaled = scalar == ScalarType::Duration && matches!(op, Binary::Mul | Binary::Div);
+                let right = self.check(b, if scaled { INT } else { ty })?;
+                let operator = match op {
+                    Binary::Add => ArithmeticOp::Add,
+                    Binary::Sub => ArithmeticOp::Sub,
+                    Binary::Mul => ArithmeticOp::Mul,
+                    Binary::Div => ArithmeticOp::Div,
+                    _ => ArithmeticOp::Rem,
                 };
-                if matches!(math, Math::Div | Math::Rem) && matches!(self.pool.term(right), Term::Int(0, _)) {
+                if matches!(operator, ArithmeticOp::Div | ArithmeticOp::Rem)
+                    && matches!(self.pool.term(right), Term::Int(0, _))
+                {
                     return Err(Fault::new(b.at, "a division by 0", "another number"));
                 }
-                Term::Math(math, left, right)
+                Term::Arithmetic(operator, left, right)
             }
             Binary::In => unreachable!("taken above"),
         };
@@ -327,7 +333,7 @@
     fn one_of(&mut self, expr: &Expr, a: &Expr, b: &Expr) -> Result<TermId, Fault> {
         let of = self.term(a)?;
         if matches!(&b.kind, Kind::Name(n) if n == "segments") {
-            self.is(a, of, TEXT)?;
+            self.expect_type(a, of, TEXT)?;
             return Ok(self.add(expr, Term::InSegments(of)));
         }
         let Kind::List(entries) = &b.kind else {
@@ -340,8 +346,8 @@
                 (Kind::Text(t), TEXT) => Const::Text(Arc::from(t.as_str())),
                 (Kind::Int(n), INT) | (Kind::Duration(n), DURATION) => Const::Int(*n),
                 _ => {
-                    let wanted = format_args!("a constant of type {ty}, as {a} is").to_string();
-                    return Err(Fault::new(entry.at, entry, wanted));
+                    let expected = format_args!("a constant of type {ty}, as {a} is").to_string();
+                    return Err(Fault::new(entry.at, entry, expected));
                 }
             });
         }
--- a/crates/yarrowspoke-expr/src/index.rs
+++ b/crates/yarrowspoke-expr/src/index.rs
@@ -4,8 +4,8 @@
 //! rules that are found by the same text share one look-up. What has no such part is looked at for every request.
 
 use crate::bounds;
-use crate::logic::{all_of, any_of, prefix, texts};
-use crate::program::{Compiler, Machine, Part, Program, Value};
+use crate::logic::{allowed_texts, conjuncts, disjuncts, required_prefix};
+use crate::program::{CompiledExpr, Compiler, Machine, Program, Value};
 use crate::request::Request;
 use crate::terms::{Pool, TermId};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -13,56 +13,56 @@
 
 /// How one part of a condition is found.
 #[derive(Clone, Debug, PartialEq, Eq)]
-enum Way {
-    Among(TermId, Vec<Arc<str>>),
-    Begins(TermId, Arc<str>),
+enum LookupKey {
+    OneOf(TermId, Vec<Arc<str>>),
+    Prefix(TermId, Arc<str>),
 }
 
-impl Way {
+impl LookupKey {
     fn of(&self) -> TermId {
         match self {
-            Self::Among(of, _) | Self::Begins(of, _) => *of,
+            Self::OneOf(of, _) | Self::Prefix(of, _) => *of,
         }
     }
 
     fn keys(&self) -> &[Arc<str>] {
         match self {
-            Self::Among(_, texts) => texts,
-            Self::Begins(_, text) => std::slice::from_ref(text),
+            Self::OneOf(_, texts) => texts,
+            Self::Prefix(_, text) => std::slice::from_ref(text),
         }
     }
 }
 
 /// Rules by constants of one text.
-struct Access {
-    value: Part,
+struct TextIndex {
+    value: CompiledExpr,
     /// Most bytes of the text.
-    most: usize,
+    max_bytes: usize,
     equals: HashMap<Arc<str>, Vec<u32>>,
     longest: usize,
     prefixes: HashMap<Arc<str>, Vec<u32>>,
     /// Lengths of the prefixes.
     lengths: Vec<usize>,
     /// Most steps for all rules found at once.
-    worst: u64,
+    max_match_cost: u64,
     /// Where that is.
-    worst_at: String,
+    costliest_match: String,
 }
 
-impl Access {
+impl TextIndex {
     /// Steps of the look-ups for a text of so many bytes.
     fn cost(&self, bytes: usize) -> u64 {
-        let equals = if self.equals.is_empty() { 0 } else { bounds::lookup(bytes.min(self.longest)) };
+        let equals = if self.equals.is_empty() { 0 } else { bounds::lookup_cost(bytes.min(self.longest)) };
         let lengths = self.lengths.iter().take_while(|l| **l <= bytes);
-        equals + lengths.map(|l| bounds::lookup(*l)).sum::<u64>() + 1
+        equals + lengths.map(|l| bounds::lookup_cost(*l)).sum::<u64>() + 1
     }
 }
 
 /// The index of a set.
 pub struct Index {
-    accesses: Vec<Access>,
+    text_indexes: Vec<TextIndex>,
     /// Rules that are looked at for every request, as bits.
-    rest: Vec<u64>,
+    always_evaluated: Vec<u64>,
     /// How many those are.
     pub unindexed: usize,
     /// Most steps that a request takes, the actions left out.
@@ -72,57 +72,66 @@
 }
 
 impl Index {
-    /// Builds the index of conditions; `weights` are the steps of each rule once it is found.
+    /// Builds the index of conditions; `rule_costs` are the steps of each rule once it is found.
     pub fn build(
         pool: &Pool,
         conditions: &[TermId],
-        weights: &[u64],
+        rule_costs: &[u64],
         names: &[&str],
         compiler: &mut Compiler,
     ) -> Self {
-        let ways: Vec<Vec<Vec<Way>>> = conditions.iter().map(|c| ways(pool, *c)).collect();
+        let lookup_keys: Vec<Vec<Vec<LookupKey>>> =
+            conditions.iter().map(|c| lookup_keys(pool, *c)).collect();
         // Steps of all rules that one constant finds: the fewer, the better it tells them apart.
-        let mut crowd: HashMap<(TermId, &str, bool), u64> = HashMap::new();
-        for (n, way) in ways.iter().enumerate().flat_map(|(n, w)| w.iter().flatten().map(move |w| (n, w))) {
-            for key in way.keys() {
-                *crowd.entry((way.of(), key, matches!(way, Way::Among(..)))).or_default() += weights[n];
+        let mut costs_by_key: HashMap<(TermId, &str, bool), u64> = HashMap::new();
+        for (n, lookup_key) in
+            lookup_keys.iter().enumerate().flat_map(|(n, w)| w.iter().flatten().map(move |w| (n, w)))
+        {
+            for key in lookup_key.keys() {
+                *costs_by_key
+                    .entry((lookup_key.of(), key, matches!(lookup_key, LookupKey::OneOf(..))))
+                    .or_default() += rule_costs[n];
             }
         }
-        let mut chosen: BTreeMap<TermId, Vec<(u32, &Way)>> = BTreeMap::new();
-        let mut rest = vec![0u64; conditions.len().div_ceil(64)];
+        let mut chosen: BTreeMap<TermId, Vec<(u32, &LookupKey)>> = BTreeMap::new();
+        let mut always_evaluated = vec![0u64; conditions.len().div_ceil(64)];
         let mut unindexed = 0;
-        for (n, alternatives) in ways.iter().enumerate() {
+        for (n, alternatives) in lookup_keys.iter().enumerate() {
             let mut picks = Vec::new();
             for alternative in alternatives {
-                let candidate_cost = |way: &&Way| {
-                    let shared = matches!(way, Way::Among(..));
-                    let keys = way.keys().iter();
-                    let most =
-                        keys.map(|k| crowd.get(&(way.of(), k.as_ref(), shared)).copied().unwrap_or(0)).max();
-                    let met = chosen.contains_key(&way.of());
-                    most.unwrap_or(0) + if met { 0 } else { pool.facts(way.of()).whole }
+                let candidate_cost = |lookup_key: &&LookupKey| {
+                    let shared = matches!(lookup_key, LookupKey::OneOf(..));
+                    let keys = lookup_key.keys().iter();
+                    let max_cost = keys
+                        .map(|k| {
+                            costs_by_key.get(&(lookup_key.of(), k.as_ref(), shared)).copied().unwrap_or(0)
+                        })
+                        .max();
+                    let already_read = chosen.contains_key(&lookup_key.of());
+                    max_cost.unwrap_or(0)
+                        + if already_read { 0 } else { pool.facts(lookup_key.of()).total_cost }
                 };
                 picks.push(alternative.iter().min_by_key(candidate_cost));
             }
             if picks.is_empty() || picks.iter().any(Option::is_none) {
-                rest[n / 64] |= 1 << (n % 64);
+                always_evaluated[n / 64] |= 1 << (n % 64);
                 unindexed += 1;
                 continue;
             }
-            for way in picks.into_iter().flatten() {
-                chosen.entry(way.of()).or_default().push((n as u32, way));
+            for lookup_key in picks.into_iter().flatten() {
+                chosen.entry(lookup_key.of()).or_default().push((n as u32, lookup_key));
             }
         }
-        let named = |rules: &[u32]| {
-            rules.iter().max_by_key(|r| weights[**r as usize]).map_or("", |r| names[*r as usize])
+        let costliest_rule = |rules: &[u32]| {
+            rules.iter().max_by_key(|r| rule_costs[**r as usize]).map_or("", |r| names[*r as usize])
         };
-        let mut accesses = Vec::new();
+        let mut text_indexes = Vec::new();
         for (of, found) in chosen {
             let mut equals: HashMap<Arc<str>, Vec<u32>> = HashMap::new();
             let mut prefixes: HashMap<Arc<str>, Vec<u32>> = HashMap::new();
-            for (rule, way) in found {
-                let to = if matches!(way, Way::Among(..)) { &mut equals } else { &mut prefixes };
-                for key in way.keys() {
+            for (rule, lookup_key) in found {
+                let to = if matches!(lookup_key, LookupKey::OneOf(..)) { &mut equals } else { &mut prefixes };
+                for key in lookup_key.keys() {
                     let rules = to.entry(Arc::clone(key)).or_default();
                     if rules.last() != Some(&rule) {
                         rules.push(rule);
@@ -131,48 +140,67 @@
             }
             let lengths: BTreeSet<usize> = prefixes.keys().map(|p| p.len()).collect();
             let lengths: Vec<usize> = lengths.into_iter().collect();
-            let weigh = |rules: &Vec<u32>| rules.iter().map(|r| weights[*r as usize]).sum::<u64>();
+            let total_cost = |rules: &Vec<u32>| rules.iter().map(|r| rule_costs[*r as usize]).sum::<u64>();
             // Any text that meets a prefix meets just the prefixes of the longest one that it meets.
-            let begins = |text: &str| {
+            let prefix_cost = |text: &str| {
                 let lengths = lengths.iter().filter_map(|l| text.get(..*l));
-                lengths.filter_map(|p| prefixes.get(p)).map(weigh).sum::<u64>()
+                lengths.filter_map(|p| prefixes.get(p)).map(total_cost).sum::<u64>()
             };
-            let of_equals = equals.iter().map(|(k, r)| (weigh(r) + begins(k), k, r));
-            let of_prefixes = prefixes.iter().map(|(k, r)| (begins(k), k, r));
-            let worst = of_equals.chain(of_prefixes).max_by(|a, b| a.0.cmp(&b.0).then(b.1.cmp(a.1)));
-            let (worst, worst_at) = worst.map_or((0, String::new()), |(w, k, r)| {
-                let all = r.len();
-                (
-                    w,
-                    format!(
-                        "{} at {:?}: {w} steps for {all} rules, the dearest {}",
-                        pool.put(of),
-                        k,
-                        named(r)
-                    ),
-                )
-            });
+            let of_equals = equals.iter().map(|(k, r)| (total_cost(r) + prefix_cost(k), k, r));
+            let of_prefixes = prefixes.iter().map(|(k, r)| (prefix_cost(k), k, r));
+            let costliest_key = of_equals.chain(of_prefixes).max_by(|a, b| a.0.cmp(&b.0).then(b.1.cmp(a.1)));
+            let (max_match_cost, costliest_match) =
+                costliest_key.map_or((0, String::new()), |(cost, key, rules)| {
+                    let all = rules.len();
+                    (
+                        cost,
+                        format!(
+                            "{} at {:?}: {cost} steps for {all} rules, the dearest {}",
+                            pool.describe(of),
+                            key,
+                            costliest_rule(rules)
+                        ),
+                    )
+                });
             let longest = equals.keys().map(|k| k.len()).max().unwrap_or(0);
-            let most = pool.facts(of).most;
-            let value = compiler.part(of);
-            accesses.push(Access { value, most, equals, longest, prefixes, lengths, worst, worst_at });
+            let max_bytes = pool.facts(of).max_bytes;
+            let value = compiler.compile(of);
+            text_indexes.push(TextIndex {
+                value,
+                max_bytes,
+                equals,
+                longest,
+                prefixes,
+                lengths,
+                max_match_cost,
+                costliest_match,
+            });
         }
-        let words = rest.len() as u64;
-        let of_rest: Vec<u32> = (0..conditions.len() as u32).filter(|n| has(&rest, *n)).collect();
-        let rest_cost: u64 = of_rest.iter().map(|r| weights[*r as usize]).sum();
-        let found: u64 = accesses.iter().map(|a| a.value.cost + a.cost(a.most) + a.worst).sum();
-        let mut dear: Vec<(u64, String)> = accesses.iter().map(|a| (a.worst, a.worst_at.clone())).collect();
-        let told = format!(
-            "rules that no constant text finds: {rest_cost} steps for {unindexed} rules, the dearest {}",
-            named(&of_rest)
+        let words = always_evaluated.len() as u64;
+        let always_evaluated_rules: Vec<u32> =
+            (0..conditions.len() as u32).filter(|n| is_set(&always_evaluated, *n)).collect();
+        let always_evaluated_cost: u64 = always_evaluated_rules.iter().map(|r| rule_costs[*r as usize]).sum();
+        let found: u64 =
+            text_indexes.iter().map(|a| a.value.cost + a.cost(a.max_bytes) + a.max_match_cost).sum();
+        let mut costs: Vec<(u64, String)> =
+            text_indexes.iter().map(|a| (a.max_match_cost, a.costliest_match.clone())).collect();
+        let always_evaluated_text = format!(
+            "rules that no constant text finds: {always_evaluated_cost} steps for {unindexed} rules, the dearest {}",
+            costliest_rule(&always_evaluated_rules)
         );
-        dear.push((rest_cost, told));
-        let costliest = dear.into_iter().max_by_key(|d| d.0).map_or(String::new(), |d| d.1);
-        Self { accesses, rest, unindexed, cost: found + rest_cost + 2 * words, costliest }
+        costs.push((always_evaluated_cost, always_evaluated_text));
+        let costliest = costs.into_iter().max_by_key(|d| d.0).map_or(String::new(), |d| d.1);
+        Self {
+            text_indexes,
+            always_evaluated,
+            unindexed,
+            cost: found + always_evaluated_cost + 2 * words,
+            costliest,
+        }
     }
 
     /// Marks in `bits` all rules that may hold.
-    pub fn find<const COUNTED: bool>(
+    pub fn find_candidates<const COUNTED: bool>(
         &self,
         program: &Program,
         machine: &mut Machine,
@@ -180,16 +208,16 @@
         bits: &mut Vec<u64>,
     ) {
         bits.clear();
-        bits.extend_from_slice(&self.rest);
+        bits.extend_from_slice(&self.always_evaluated);
         if COUNTED {
             machine.steps += 2 * bits.len() as u64;
         }
-        for access in &self.accesses {
-            let value = machine.run::<COUNTED>(program, access.value, request);
+        for text_index in &self.text_indexes {
+            let value = machine.run::<COUNTED>(program, text_index.value, request);
             // Without a value none of its rules can hold.
             let Ok(Value::Text(slice)) = value else { continue };
             if COUNTED {
-                machine.steps += access.cost(slice.bytes());
+                machine.steps += text_index.cost(slice.bytes());
             }
             let text = machine.text(program, request, slice);
             let mut mark = |rules: &[u32]| {
@@ -197,13 +225,13 @@
                     bits[*rule as usize / 64] |= 1 << (rule % 64);
                 }
             };
-            if text.len() <= access.longest {
-                if let Some(rules) = access.equals.get(text) {
+            if text.len() <= text_index.longest {
+                if let Some(rules) = text_index.equals.get(text) {
                     mark(rules);
                 }
             }
-            for length in access.lengths.iter().take_while(|l| **l <= text.len()) {
-                if let Some(rules) = text.get(..*length).and_then(|p| access.prefixes.get(p)) {
+            for length in text_index.lengths.iter().take_while(|l| **l <= text.len()) {
+                if let Some(rules) = text.get(..*length).and_then(|p| text_index.prefixes.get(p)) {
                     mark(rules);
                 }
             }
@@ -215,21 +243,21 @@
         let table = |t: &HashMap<Arc<str>, Vec<u32>>| {
             t.iter().map(|(k, r)| 64 + k.len() + 4 * r.capacity()).sum::<usize>()
         };
-        let of = |a: &Access| table(&a.equals) + table(&a.prefixes) + 8 * a.lengths.len();
-        self.accesses.iter().map(of).sum::<usize>() + 8 * self.rest.len()
+        let of = |a: &TextIndex| table(&a.equals) + table(&a.prefixes) + 8 * a.lengths.len();
+        self.text_indexes.iter().map(of).sum::<usize>() + 8 * self.always_evaluated.len()
     }
 }
 
-fn has(bits: &[u64], n: u32) -> bool {
+fn is_set(bits: &[u64], n: u32) -> bool {
     bits[n as usize / 64] >> (n % 64) & 1 == 1
 }
 
 /// For each alternative of a condition the ways to find it.
-fn ways(pool: &Pool, condition: TermId) -> Vec<Vec<Way>> {
+fn lookup_keys(pool: &Pool, condition: TermId) -> Vec<Vec<LookupKey>> {
     let of = |part: TermId| {
-        let among = texts(pool, part).map(|(of, texts)| Way::Among(of, texts));
-        among.or_else(|| prefix(pool, part).map(|(of, text)| Way::Begins(of, text)))
+        let among = allowed_texts(pool, part).map(|(of, texts)| LookupKey::OneOf(of, texts));
+        among.or_else(|| required_prefix(pool, part).map(|(of, text)| LookupKey::Prefix(of, text)))
     };
-    let alternatives = any_of(pool, condition);
-    alternatives.into_iter().map(|a| all_of(pool, a).into_iter().filter_map(of).collect()).collect()
+    let alternatives = disjuncts(pool, condition);
+    alternatives.into_iter().map(|a| conjuncts(pool, a).into_iter().filter_map(of).collect()).collect()
 }
--- a/crates/yarrowspoke-expr/src/interpreter.rs
+++ b/crates/yarrowspoke-expr/src/interpreter.rs
@@ -36,26 +36,26 @@
 }
 
 /// What an expression comes to for a request; `None` where it has no value.
-pub fn value(expr: &Expr, request: &Request, regexes: &Regexes, names: &[String]) -> Option<Value> {
-    Interpreter { request, regexes, names }.of(expr)
+pub fn value(expr: &Expr, request: &Request, regexes: &Regexes, header_names: &[String]) -> Option<Value> {
+    Interpreter { request, regexes, header_names }.evaluate(expr)
 }
 
 struct Interpreter<'a> {
     request: &'a Request<'a>,
     regexes: &'a Regexes,
-    names: &'a [String],
+    header_names: &'a [String],
 }
 
 impl Interpreter<'_> {
     fn bool(&self, expr: &Expr) -> Option<bool> {
-        match self.of(expr)? {
+        match self.evaluate(expr)? {
             Value::Bool(b) => Some(b),
             _ => None,
         }
     }
 
     fn text(&self, expr: &Expr) -> Option<String> {
-        match self.of(expr)? {
+        match self.evaluate(expr)? {
             Value::Text(t) => Some(t),
             _ => None,
         }
@@ -74,30 +74,30 @@
     }
 
     fn name(&self, name: &str) -> Option<Value> {
-        let r = self.request;
+        let request = self.request;
         let text = |t: &str| Value::Text(t.to_owned());
         Some(match name {
-            "method" => text(r.method),
-            "path" => text(r.target.split('?').next().unwrap_or("")),
-            "target" => text(r.target),
-            "class" => text(r.class),
-            "tenant" => text(r.tenant),
+            "method" => text(request.method),
+            "path" => text(request.target.split('?').next().unwrap_or("")),
+            "target" => text(request.target),
+            "class" => text(request.class),
+            "tenant" => text(request.tenant),
             "key" => self.query("key"),
-            "budget" => Value::Int(r.budget),
-            "hint" => r.hint.map_or(Value::Absent, Value::Int),
-            "repeat" => Value::Bool(r.repeat),
-            "length" => Value::Int(r.length),
+            "budget" => Value::Int(request.budget),
+            "hint" => request.hint.map_or(Value::Absent, Value::Int),
+            "repeat" => Value::Bool(request.repeat),
+            "length" => Value::Int(request.length),
             "segments" => Value::List(self.segments().into_iter().map(Value::Text).collect()),
             _ => return None,
         })
     }
 
-    fn of(&self, expr: &Expr) -> Option<Value> {
+    fn evaluate(&self, expr: &Expr) -> Option<Value> {
         Some(match &expr.kind {
             Kind::Bool(b) => Value::Bool(*b),
             Kind::Int(n) | Kind::Duration(n) => Value::Int(*n),
             Kind::Text(t) => Value::Text(t.clone()),
-            Kind::List(parts) => Value::List(parts.iter().map(|p| self.of(p)).collect::<Option<_>>()?),
+            Kind::List(parts) => Value::List(parts.iter().map(|p| self.evaluate(p)).collect::<Option<_>>()?),
             Kind::Name(name) => self.name(name)?,
             Kind::Index(of, at) => match (&of.kind, &at.kind) {
                 (Kind::Name(n), Kind::Int(at)) if n == "segments" => {
@@ -106,7 +106,7 @@
                 }
                 (Kind::Name(n), Kind::Text(name)) if n == "query" => self.query(name),
                 (Kind::Name(n), Kind::Text(name)) if n == "headers" => {
-                    let at = self.names.iter().position(|h| h.eq_ignore_ascii_case(name))?;
+                    let at = self.header_names.iter().position(|h| h.eq_ignore_ascii_case(name))?;
                     let value = self.request.headers.get(at).and_then(|h| h.clone());
                     value.map_or(Value::Absent, Value::Text)
                 }
@@ -114,7 +114,7 @@
             },
             Kind::Call { name, args, .. } => self.call(name, args)?,
             Kind::Unary(Unary::Not, of) => Value::Bool(!self.bool(of)?),
-            Kind::Unary(Unary::Neg, of) => match self.of(of)? {
+            Kind::Unary(Unary::Neg, of) => match self.evaluate(of)? {
                 Value::Int(n) => Value::Int(0i64.checked_sub(n)?),
                 _ => return None,
             },
@@ -134,8 +134,10 @@
                 }
                 Value::Bool(false)
             }
-            Kind::Choice(parts) => return self.of(&parts[if self.bool(&parts[0])? { 1 } else { 2 }]),
-            Kind::Binary(op, a, b) => self.binary(*op, self.of(a)?, self.of(b)?)?,
+            Kind::Conditional(parts) => {
+                return self.evaluate(&parts[if self.bool(&parts[0])? { 1 } else { 2 }])
+            }
+            Kind::Binary(op, a, b) => self.binary(*op, self.evaluate(a)?, self.evaluate(b)?)?,
         })
     }
 
@@ -145,15 +147,15 @@
             "startsWith" => Value::Bool(text(0)?.starts_with(&text(1)?)),
             "endsWith" => Value::Bool(text(0)?.ends_with(&text(1)?)),
             "contains" => Value::Bool(text(0)?.contains(&text(1)?)),
-            "matches" => Value::Bool(self.regexes.find(&text(1)?)?.finds(text(0)?.as_bytes()).0),
-            "size" => match self.of(args.first()?)? {
+            "matches" => Value::Bool(self.regexes.find(&text(1)?)?.search(text(0)?.as_bytes()).0),
+            "size" => match self.evaluate(args.first()?)? {
                 Value::Text(t) => Value::Int(t.len() as i64),
                 Value::List(l) => Value::Int(l.len() as i64),
                 _ => return None,
             },
-            "has" => Value::Bool(self.of(args.first()?)? != Value::Absent),
-            "orValue" => match self.of(args.first()?)? {
-                Value::Absent => return self.of(args.get(1)?),
+            "has" => Value::Bool(self.evaluate(args.first()?)? != Value::Absent),
+            "orValue" => match self.evaluate(args.first()?)? {
+                Value::Absent => return self.evaluate(args.get(1)?),
                 there => there,
             },
             "hash" => Value::Int(hash(&text(0)?)),
--- a/crates/yarrowspoke-expr/src/lex.rs
+++ b/crates/yarrowspoke-expr/src/lex.rs
@@ -9,7 +9,7 @@
 use winnow::Parser;
 
 type Input<'a> = LocatingSlice<&'a str>;
-type Read<T> = Result<T, EmptyError>;
+type LexResult<T> = Result<T, EmptyError>;
 
 /// One token.
 #[derive(Clone, Debug, PartialEq)]
@@ -23,7 +23,7 @@
     /// A word.
     Word(String),
     /// Signs.
-    Sign(&'static str),
+    Symbol(&'static str),
     /// A number too large for 64 bits.
     TooLarge,
 }
@@ -38,7 +38,7 @@
 }
 
 /// Signs, the longer ones first.
-const SIGNS: [&str; 22] = [
+const SYMBOLS: [&str; 22] = [
     "&&", "||", "==", "!=", "<=", ">=", "<", ">", "!", "+", "-", "*", "/", "%", "(", ")", "[", "]", ",", ".",
     "?", ":",
 ];
@@ -52,7 +52,7 @@
     let mut input = LocatingSlice::new(text);
     let mut out = Vec::new();
     loop {
-        blank(&mut input);
+        skip_whitespace(&mut input);
         let from = input.current_token_start();
         if from == text.len() {
             return Ok(out);
@@ -68,32 +68,32 @@
             Err(EmptyError) => {
                 let next = text[from..].chars().next().unwrap_or(' ');
                 let at = Span { from, to: from + next.len_utf8() };
-                let wanted = match next {
+                let expected = match next {
                     '\'' | '"' => "a string with its closing quote and the escapes \\\\ \\' \\\" \\n \\r \\t",
                     _ => "a number, a string, a name or an operator",
                 };
-                return Err(Fault::new(at, format_args!("{next:?}"), wanted));
+                return Err(Fault::new(at, format_args!("{next:?}"), expected));
             }
         }
     }
 }
 
-fn blank(input: &mut Input) {
-    let skipped: Read<()> = take_while(0.., char::is_whitespace).void().parse_next(input);
+fn skip_whitespace(input: &mut Input) {
+    let skipped: LexResult<()> = take_while(0.., char::is_whitespace).void().parse_next(input);
     debug_assert!(skipped.is_ok());
 }
 
-fn token(input: &mut Input) -> Read<Token> {
-    alt((number, quoted('\''), quoted('"'), word, sign)).parse_next(input)
+fn token(input: &mut Input) -> LexResult<Token> {
+    alt((number, quoted('\''), quoted('"'), word, symbol)).parse_next(input)
 }
 
-fn number(input: &mut Input) -> Read<Token> {
+fn number(input: &mut Input) -> LexResult<Token> {
     let digits: &str = digit1.parse_next(input)?;
     let unit = opt(word_text).parse_next(input)?;
     let Some(value) = digits.parse::<i64>().ok() else { return Ok(Token::TooLarge) };
     let Some(unit) = unit else { return Ok(Token::Int(value)) };
-    let Some((_, times)) = UNITS.iter().find(|u| u.0 == unit) else { return Err(EmptyError) };
-    Ok(value.checked_mul(*times).map_or(Token::TooLarge, Token::Duration))
+    let Some((_, multiplier)) = UNITS.iter().find(|u| u.0 == unit) else { return Err(EmptyError) };
+    Ok(value.checked_mul(*multiplier).map_or(Token::TooLarge, Token::Duration))
 }
 
 fn quoted<'a>(quote: char) -> impl Parser<Input<'a>, Token, EmptyError> {
@@ -112,21 +112,21 @@
     delimited(quote, text, quote).map(Token::Text)
 }
 
-fn word_text<'a>(input: &mut Input<'a>) -> Read<&'a str> {
+fn word_text<'a>(input: &mut Input<'a>) -> LexResult<&'a str> {
     let first = one_of(|c: char| c.is_ascii_alphabetic() || c == '_');
     let rest = take_while(0.., |c: char| c.is_ascii_alphanumeric() || c == '_');
     (first, rest).take().parse_next(input)
 }
 
-fn word(input: &mut Input) -> Read<Token> {
+fn word(input: &mut Input) -> LexResult<Token> {
     word_text.map(|w: &str| Token::Word(w.to_owned())).parse_next(input)
 }
 
-fn sign(input: &mut Input) -> Read<Token> {
-    for sign in SIGNS {
-        let found: Option<&str> = opt(sign).parse_next(input)?;
+fn symbol(input: &mut Input) -> LexResult<Token> {
+    for symbol in SYMBOLS {
+        let found: Option<&str> = opt(symbol).parse_next(input)?;
         if found.is_some() {
-            return Ok(Token::Sign(sign));
+            return Ok(Token::Symbol(symbol));
         }
     }
     Err(EmptyError)
--- a/crates/yarrowspoke-expr/src/logic.rs
+++ b/crates/yarrowspoke-expr/src/logic.rs
@@ -1,6 +1,6 @@
 //! What can be said of conditions without a request: which can never hold, and which are never reached.
 
-use crate::terms::{Affix, Basic, Const, Pool, Term, TermId};
+use crate::terms::{Const, Pool, ScalarType, Term, TermId, TextTest};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 const MAX_COMPARED_PAIRS: usize = 4_000_000;
 
 /// The parts of a condition that all hold.
-pub fn all_of(pool: &Pool, id: TermId) -> Vec<TermId> {
+pub fn conjuncts(pool: &Pool, id: TermId) -> Vec<TermId> {
     match pool.term(id) {
         Term::And(parts) => parts.clone(),
         Term::Bool(true) => vec![],
@@ -17,7 +17,7 @@
 }
 
 /// The parts of a condition of which one holds.
-pub fn any_of(pool: &Pool, id: TermId) -> Vec<TermId> {
+pub fn disjuncts(pool: &Pool, id: TermId) -> Vec<TermId> {
     match pool.term(id) {
         Term::Or(parts) => parts.clone(),
         _ => vec![id],
@@ -25,7 +25,7 @@
 }
 
 /// What a part says of one text: that it is among these.
-pub fn texts(pool: &Pool, id: TermId) -> Option<(TermId, Vec<Arc<str>>)> {
+pub fn allowed_texts(pool: &Pool, id: TermId) -> Option<(TermId, Vec<Arc<str>>)> {
     match pool.term(id) {
         Term::Eq(of, text) => match pool.term(*text) {
             Term::Text(t) => Some((*of, vec![Arc::clone(t)])),
@@ -40,9 +40,9 @@
 }
 
 /// What a part says of one text: that it begins so.
-pub fn prefix(pool: &Pool, id: TermId) -> Option<(TermId, Arc<str>)> {
+pub fn required_prefix(pool: &Pool, id: TermId) -> Option<(TermId, Arc<str>)> {
     match pool.term(id) {
-        Term::Affix(Affix::Starts, of, by) => match pool.term(*by) {
+        Term::TextTest(TextTest::StartsWith, of, by) => match pool.term(*by) {
             Term::Text(t) => Some((*of, Arc::clone(t))),
             _ => None,
         },
@@ -51,7 +51,7 @@
 }
 
 /// What a part says of one number: that it lies between these, both included.
-fn range(pool: &Pool, id: TermId) -> Option<(TermId, i64, i64)> {
+fn allowed_range(pool: &Pool, id: TermId) -> Option<(TermId, i64, i64)> {
     let int = |id: &TermId| if let Term::Int(n, _) = pool.term(*id) { Some(*n) } else { None };
     match pool.term(id) {
         Term::Eq(of, n) => int(n).map(|n| (*of, n, n)),
@@ -75,31 +75,31 @@
 }
 
 /// Whether a condition can never hold, as far as that is plain from its constants.
-pub fn never(pool: &Pool, id: TermId) -> bool {
-    any_of(pool, id).iter().all(|part| {
-        let all = all_of(pool, *part);
+pub fn is_never_true(pool: &Pool, id: TermId) -> bool {
+    disjuncts(pool, id).iter().all(|part| {
+        let all = conjuncts(pool, *part);
         let has: BTreeSet<TermId> = all.iter().copied().collect();
-        let mut among: HashMap<TermId, Vec<Arc<str>>> = HashMap::new();
-        let mut between: HashMap<TermId, (i64, i64)> = HashMap::new();
+        let mut allowed: HashMap<TermId, Vec<Arc<str>>> = HashMap::new();
+        let mut ranges: HashMap<TermId, (i64, i64)> = HashMap::new();
         for id in &all {
             match pool.term(*id) {
                 Term::Bool(false) => return true,
                 Term::Not(of) if has.contains(of) => return true,
                 _ => {}
             }
-            if let Some((of, texts)) = texts(pool, *id) {
-                let texts = match among.get(&of) {
+            if let Some((of, texts)) = allowed_texts(pool, *id) {
+                let texts = match allowed.get(&of) {
                     Some(known) => known.iter().filter(|t| texts.contains(t)).cloned().collect(),
                     None => texts,
                 };
                 if texts.is_empty() {
                     return true;
                 }
-                among.insert(of, texts);
+                allowed.insert(of, texts);
             }
-            if let Some((of, least, most)) = range(pool, *id) {
-                let known = between.entry(of).or_insert((i64::MIN, i64::MAX));
-                *known = (known.0.max(least), known.1.min(most));
+            if let Some((of, min, max)) = allowed_range(pool, *id) {
+                let known = ranges.entry(of).or_insert((i64::MIN, i64::MAX));
+                *known = (known.0.max(min), known.1.min(max));
                 if known.0 > known.1 {
                     return true;
                 }
@@ -107,14 +107,14 @@
         }
         // What the text must be, against how it must begin and what it must not be.
         all.iter().any(|id| {
-            if let Some((of, begin)) = prefix(pool, *id) {
-                return among
+            if let Some((of, prefix)) = required_prefix(pool, *id) {
+                return allowed
                     .get(&of)
-                    .is_some_and(|texts| !texts.iter().any(|t| t.starts_with(begin.as_ref())));
+                    .is_some_and(|texts| !texts.iter().any(|t| t.starts_with(prefix.as_ref())));
             }
             let Term::Not(not) = pool.term(*id) else { return false };
-            let Some((of, out)) = texts(pool, *not) else { return false };
-            among.get(&of).is_some_and(|texts| texts.iter().all(|t| out.contains(t)))
+            let Some((of, excluded)) = allowed_texts(pool, *not) else { return false };
+            allowed.get(&of).is_some_and(|texts| texts.iter().all(|t| excluded.contains(t)))
         })
     })
 }
@@ -124,24 +124,30 @@
     if a == b {
         return true;
     }
-    let known = texts(pool, a);
-    if let (Some((x, these)), Some((y, those))) = (&known, texts(pool, b)) {
-        return *x == y && these.iter().all(|t| those.contains(t));
+    let allowed_by_a = allowed_texts(pool, a);
+    if let (Some((operand_a, texts_a)), Some((operand_b, texts_b))) = (&allowed_by_a, allowed_texts(pool, b))
+    {
+        return *operand_a == operand_b && texts_a.iter().all(|t| texts_b.contains(t));
     }
-    if let Some((y, begin)) = prefix(pool, b) {
-        let by_text = known.as_ref().is_some_and(|k| k.0 == y && k.1.iter().all(|t| t.starts_with(&*begin)));
-        let by_prefix = prefix(pool, a).is_some_and(|(x, longer)| x == y && longer.starts_with(&*begin));
+    if let Some((operand_b, prefix)) = required_prefix(pool, b) {
+        let by_text = allowed_by_a
+            .as_ref()
+            .is_some_and(|k| k.0 == operand_b && k.1.iter().all(|t| t.starts_with(&*prefix)));
+        let by_prefix = required_prefix(pool, a)
+            .is_some_and(|(operand_a, longer)| operand_a == operand_b && longer.starts_with(&*prefix));
         return by_text || by_prefix;
     }
     if let Term::Not(not) = pool.term(b) {
-        if let (Some((x, these)), Some((y, out))) = (&known, texts(pool, *not)) {
-            return *x == y && !these.iter().any(|t| out.contains(t));
+        if let (Some((operand_a, texts_a)), Some((operand_b, excluded))) =
+            (&allowed_by_a, allowed_texts(pool, *not))
+        {
+            return *operand_a == operand_b && !texts_a.iter().any(|t| excluded.contains(t));
         }
     }
-    match (range(pool, a), range(pool, b)) {
-        (Some((x, least, most)), Some((y, lo, hi))) => {
+    match (allowed_range(pool, a), allowed_range(pool, b)) {
+        (Some((operand_a, min, max)), Some((operand_b, min_b, max_b))) => {
             // A list of numbers has gaps, so its range says less than it does.
-            x == y && least >= lo && most <= hi && !matches!(pool.term(b), Term::OneOf(..))
+            operand_a == operand_b && min >= min_b && max <= max_b && !matches!(pool.term(b), Term::OneOf(..))
         }
         _ => false,
     }
@@ -150,58 +156,61 @@
 /// Whether evaluating a part always yields a value, whatever the request.
 fn always_has_value(pool: &Pool, id: TermId) -> bool {
     let own = match pool.term(id) {
-        Term::Math(_, _, b) => {
+        Term::Arithmetic(_, _, b) => {
             // A remainder or a quotient by a constant other than 0 and -1 neither overflows nor fails.
-            let safe = matches!(pool.term(*b), Term::Int(n, Basic::Int) if *n > 0);
-            safe && matches!(pool.term(id), Term::Math(crate::terms::Math::Div | crate::terms::Math::Rem, ..))
+            let safe = matches!(pool.term(*b), Term::Int(n, ScalarType::Int) if *n > 0);
+            safe && matches!(
+                pool.term(id),
+                Term::Arithmetic(crate::terms::ArithmeticOp::Div | crate::terms::ArithmeticOp::Rem, ..)
+            )
         }
         _ => true,
     };
-    own && pool.parts(id).iter().all(|p| always_has_value(pool, *p))
+    own && pool.operands(id).iter().all(|p| always_has_value(pool, *p))
 }
 
 /// For each condition the earlier one, if any, that holds wherever it holds, so that of "first match" it is never
 /// reached; and whether all pairs were compared.
-pub fn shadowed(pool: &Pool, conditions: &[TermId]) -> (Vec<Option<usize>>, bool) {
-    let mut out = vec![None; conditions.len()];
+pub fn find_shadowed(pool: &Pool, conditions: &[TermId]) -> (Vec<Option<usize>>, bool) {
+    let mut shadowed_by = vec![None; conditions.len()];
     // Earlier conditions, each under one of its parts: by the text that it is about, or by itself.
-    let mut under: HashMap<(TermId, Option<Arc<str>>), Vec<usize>> = HashMap::new();
+    let mut rules_by_key: HashMap<(TermId, Option<Arc<str>>), Vec<usize>> = HashMap::new();
     let mut always: Option<usize> = None;
-    let mut pairs = 0;
+    let mut compared_pairs = 0;
     for (n, id) in conditions.iter().enumerate() {
-        let parts = all_of(pool, *id);
+        let parts = conjuncts(pool, *id);
         let keys = |part: TermId| -> Vec<(TermId, Option<Arc<str>>)> {
-            let about = texts(pool, part);
+            let about = allowed_texts(pool, part);
             let mut keys = vec![(part, None)];
             if let Some((of, texts)) = &about {
                 keys.extend(texts.iter().map(|t| (*of, Some(Arc::clone(t)))));
             }
-            if let Some(of) = about.map(|a| a.0).or(prefix(pool, part).map(|p| p.0)) {
+            if let Some(of) = about.map(|a| a.0).or(required_prefix(pool, part).map(|p| p.0)) {
                 keys.push((of, None));
-            } else if let Some((of, ..)) = range(pool, part) {
+            } else if let Some((of, ..)) = allowed_range(pool, part) {
                 keys.push((of, None));
             } else if let Term::Not(of) = pool.term(part) {
-                keys.extend(texts(pool, *of).map(|t| (t.0, None)));
+                keys.extend(allowed_texts(pool, *of).map(|t| (t.0, None)));
             }
             keys
         };
         let mut found = always;
-        'seek: for part in &parts {
+        'search: for part in &parts {
             for key in keys(*part) {
-                for earlier in under.get(&key).into_iter().flatten() {
-                    pairs += 1;
-                    if pairs > MAX_COMPARED_PAIRS {
-                        return (out, false);
+                for earlier in rules_by_key.get(&key).into_iter().flatten() {
+                    compared_pairs += 1;
+                    if compared_pairs > MAX_COMPARED_PAIRS {
+                        return (shadowed_by, false);
                     }
-                    let theirs = all_of(pool, conditions[*earlier]);
-                    if theirs.iter().all(|t| parts.iter().any(|p| implies(pool, *p, *t))) {
+                    let earlier_parts = conjuncts(pool, conditions[*earlier]);
+                    if earlier_parts.iter().all(|t| parts.iter().any(|p| implies(pool, *p, *t))) {
                         found = Some(*earlier);
-                        break 'seek;
+                        break 'search;
                     }
                 }
             }
         }
-        out[n] = found;
+        shadowed_by[n] = found;
         // Danger: an earlier condition that sometimes has no value lets those requests through to the later one.
         if found.is_some() || !always_has_value(pool, *id) {
             continue;
@@ -209,20 +218,20 @@
         match parts.first() {
             None => always = always.or(Some(n)),
             Some(part) => {
-                let key = match texts(pool, *part) {
+                let key = match allowed_texts(pool, *part) {
                     Some((of, texts)) if texts.len() == 1 => (of, Some(Arc::clone(&texts[0]))),
                     Some((of, _)) => (of, None),
                     None => match pool.term(*part) {
-                        Term::Not(of) => texts(pool, *of).map_or((*part, None), |t| (t.0, None)),
-                        _ => prefix(pool, *part)
+                        Term::Not(of) => allowed_texts(pool, *of).map_or((*part, None), |t| (t.0, None)),
+                        _ => required_prefix(pool, *part)
                             .map(|p| p.0)
-                            .or(range(pool, *part).map(|r| r.0))
+                            .or(allowed_range(pool, *part).map(|r| r.0))
                             .map_or((*part, None), |of| (of, None)),
                     },
                 };
-                under.entry(key).or_default().push(n);
+                rules_by_key.entry(key).or_default().push(n);
             }
         }
     }
-    (out, true)
+    (shadowed_by, true)
 }
--- a/crates/yarrowspoke-expr/src/parse.rs
+++ b/crates/yarrowspoke-expr/src/parse.rs
@@ -21,7 +21,7 @@
 
 type Tokens<'a> = TokenSlice<'a, Spanned>;
 
-struct Reader<'a> {
+struct ExprParser<'a> {
     rest: Tokens<'a>,
     end: usize,
     depth: usize,
@@ -39,7 +39,7 @@
         ));
     }
     let tokens = tokens(text)?;
-    let mut reader = Reader { rest: TokenSlice::new(&tokens), end: text.len(), depth: 0, nodes: 0 };
+    let mut reader = ExprParser { rest: TokenSlice::new(&tokens), end: text.len(), depth: 0, nodes: 0 };
     let expr = reader.expr()?;
     match reader.peek() {
         None => Ok(expr),
@@ -47,7 +47,7 @@
     }
 }
 
-impl<'a> Reader<'a> {
+impl<'a> ExprParser<'a> {
     fn peek(&mut self) -> Option<&'a Spanned> {
         let next: Result<Option<&Spanned>, EmptyError> = peek(opt(any)).parse_next(&mut self.rest);
         next.ok().flatten()
@@ -59,15 +59,15 @@
     }
 
     /// Takes a sign if it comes next.
-    fn takes(&mut self, sign: &str) -> bool {
-        let is = matches!(self.peek(), Some(Spanned { token: Token::Sign(s), .. }) if *s == sign);
+    fn accept(&mut self, symbol: &str) -> bool {
+        let is = matches!(self.peek(), Some(Spanned { token: Token::Symbol(s), .. }) if *s == symbol);
         if is {
             self.next();
         }
         is
     }
 
-    fn place(&mut self) -> Span {
+    fn next_span(&mut self) -> Span {
         self.peek().map_or(Span { from: self.end, to: self.end }, |t| t.at)
     }
 
@@ -78,18 +78,18 @@
             Some(Token::Duration(us)) => format!("{us} us"),
             Some(Token::Text(t)) => format!("the string {t:?}"),
             Some(Token::Word(w)) => w.clone(),
-            Some(Token::Sign(s)) => (*s).to_owned(),
+            Some(Token::Symbol(s)) => (*s).to_owned(),
             Some(Token::TooLarge) => "a number".to_owned(),
         };
-        Fault::new(self.place(), found, expected)
+        Fault::new(self.next_span(), found, expected)
     }
 
-    fn want(&mut self, sign: &'static str, what: &str) -> Result<usize, Fault> {
-        let at = self.place();
-        if self.takes(sign) {
+    fn expect(&mut self, symbol: &'static str, what: &str) -> Result<usize, Fault> {
+        let at = self.next_span();
+        if self.accept(symbol) {
             Ok(at.to)
         } else {
-            Err(self.unexpected(&format!("{sign:?} {what}")))
+            Err(self.unexpected(&format!("{symbol:?} {what}")))
         }
     }
 
@@ -107,10 +107,10 @@
     }
 
     /// Goes one level down for as long as `read` runs.
-    fn deeper<T>(&mut self, read: impl FnOnce(&mut Self) -> Result<T, Fault>) -> Result<T, Fault> {
+    fn nested<T>(&mut self, read: impl FnOnce(&mut Self) -> Result<T, Fault>) -> Result<T, Fault> {
         self.depth += 1;
         if self.depth > MAX_DEPTH {
-            let at = self.place();
+            let at = self.next_span();
             return Err(Fault::new(at, "more", format_args!("at most {MAX_DEPTH} levels of nesting")));
         }
         let read = read(self);
@@ -119,28 +119,28 @@
     }
 
     fn expr(&mut self) -> Result<Expr, Fault> {
-        self.deeper(|r| {
-            let test = r.any_of()?;
-            if !r.takes("?") {
+        self.nested(|r| {
+            let test = r.or_expr()?;
+            if !r.accept("?") {
                 return Ok(test);
             }
             let yes = r.expr()?;
-            r.want(":", "between the two values of a choice")?;
+            r.expect(":", "between the two values of a choice")?;
             let no = r.expr()?;
             let (from, to) = (test.at.from, no.at.to);
-            r.node(from, to, Kind::Choice(Box::new([test, yes, no])))
+            r.node(from, to, Kind::Conditional(Box::new([test, yes, no])))
         })
     }
 
     fn chain(
         &mut self,
-        sign: &str,
+        symbol: &str,
         read: fn(&mut Self) -> Result<Expr, Fault>,
         make: fn(Vec<Expr>) -> Kind,
     ) -> Result<Expr, Fault> {
         let first = read(self)?;
         let mut parts = vec![first];
-        while self.takes(sign) {
+        while self.accept(symbol) {
             parts.push(read(self)?);
         }
         let (from, to) = (parts[0].at.from, parts[parts.len() - 1].at.to);
@@ -150,55 +150,56 @@
         }
     }
 
-    fn any_of(&mut self) -> Result<Expr, Fault> {
-        self.chain("||", Self::all_of, Kind::Or)
+    fn or_expr(&mut self) -> Result<Expr, Fault> {
+        self.chain("||", Self::and_expr, Kind::Or)
     }
 
-    fn all_of(&mut self) -> Result<Expr, Fault> {
-        self.chain("&&", Self::compared, Kind::And)
+    fn and_expr(&mut self) -> Result<Expr, Fault> {
+        self.chain("&&", Self::comparison, Kind::And)
     }
 
-    fn compared(&mut self) -> Result<Expr, Fault> {
-        let left = self.grouped(5)?;
-        let Some(op) = self.binary(4) else { return Ok(left) };
-        let right = self.grouped(5)?;
+    fn comparison(&mut self) -> Result<Expr, Fault> {
+        let left = self.left_associative(5)?;
+        let Some(op) = self.accept_binary(4) else { return Ok(left) };
+        let right = self.left_associative(5)?;
         let (from, to) = (left.at.from, right.at.to);
-        if self.binary_ahead(4).is_some() {
+        if self.peek_binary(4).is_some() {
             return Err(self.unexpected("one comparison; brackets around the others"));
         }
         self.node(from, to, Kind::Binary(op, Box::new(left), Box::new(right)))
     }
 
-    fn binary_ahead(&mut self, strength: u8) -> Option<Binary> {
+    fn peek_binary(&mut self, precedence: u8) -> Option<Binary> {
         let op = match self.peek()?.token {
-            Token::Sign("==") => Binary::Eq,
-            Token::Sign("!=") => Binary::Ne,
-            Token::Sign("<") => Binary::Lt,
-            Token::Sign("<=") => Binary::Le,
-            Token::Sign(">") => Binary::Gt,
-            Token::Sign(">=") => Binary::Ge,
-            Token::Sign("+") => Binary::Add,
-            Token::Sign("-") => Binary::Sub,
-            Token::Sign("*") => Binary::Mul,
-            Token::Sign("/") => Binary::Div,
-            Token::Sign("%") => Binary::Rem,
+            Token::Symbol("==") => Binary::Eq,
+            Token::Symbol("!=") => Binary::Ne,
+            Token::Symbol("<") => Binary::Lt,
+            Token::Symbol("<=") => Binary::Le,
+            Token::Symbol(">") => Binary::Gt,
+            Token::Symbol(">=") => Binary::Ge,
+            Token::Symbol("+") => Binary::Add,
+            Token::Symbol("-") => Binary::Sub,
+            Token::Symbol("*") => Binary::Mul,
+            Token::Symbol("/") => Binary::Div,
+            Token::Symbol("%") => Binary::Rem,
             Token::Word(ref w) if w == "in" => Binary::In,
             _ => return None,
         };
-        (op.strength() == strength).then_some(op)
+        (op.precedence() == precedence).then_some(op)
     }
 
-    fn binary(&mut self, strength: u8) -> Option<Binary> {
-        let op = self.binary_ahead(strength)?;
+    fn accept_binary(&mut self, precedence: u8) -> Option<Binary> {
+        let op = self.peek_binary(precedence)?;
         self.next();
         Some(op)
     }
 
     /// Sums (5) and products (6), grouped to the left.
-    fn grouped(&mut self, strength: u8) -> Result<Expr, Fault> {
-        let read = |r: &mut Self| if strength == 6 { r.unary() } else { r.grouped(strength + 1) };
+    fn left_associative(&mut self, precedence: u8) -> Result<Expr, Fault> {
+        let read =
+            |r: &mut Self| if precedence == 6 { r.unary() } else { r.left_associative(precedence + 1) };
         let mut left = read(self)?;
-        while let Some(op) = self.binary(strength) {
+        while let Some(op) = self.accept_binary(precedence) {
             let right = read(self)?;
             let (from, to) = (left.at.from, right.at.to);
             left = self.node(from, to, Kind::Binary(op, Box::new(left), Box::new(right)))?;
@@ -207,14 +208,14 @@
     }
 
     fn unary(&mut self) -> Result<Expr, Fault> {
-        let from = self.place().from;
+        let from = self.next_span().from;
         let op = match self.peek().map(|t| &t.token) {
-            Some(Token::Sign("!")) => Unary::Not,
-            Some(Token::Sign("-")) => Unary::Neg,
+            Some(Token::Symbol("!")) => Unary::Not,
+            Some(Token::Symbol("-")) => Unary::Neg,
             _ => return self.postfix(),
         };
         self.next();
-        let of = self.deeper(Self::unary)?;
+        let of = self.nested(Self::unary)?;
         let to = of.at.to;
         // A number with its sign is one constant.
         let kind = match (op, &of.kind) {
@@ -231,19 +232,19 @@
             let from = of.at.from;
             let kind;
             let to;
-            if self.takes(".") {
+            if self.accept(".") {
                 let Some(Spanned { token: Token::Word(name), .. }) = self.peek() else {
                     return Err(self.unexpected("the name of a function"));
                 };
                 self.next();
-                self.want("(", "behind a function's name")?;
-                let (mut args, end) = self.list(")")?;
+                self.expect("(", "behind a function's name")?;
+                let (mut args, end) = self.delimited_list(")")?;
                 args.insert(0, of);
                 kind = Kind::Call { name: name.clone(), args, method: true };
                 to = end;
-            } else if self.takes("[") {
+            } else if self.accept("[") {
                 let at = self.expr()?;
-                to = self.want("]", "behind an index")?;
+                to = self.expect("]", "behind an index")?;
                 kind = Kind::Index(Box::new(of), Box::new(at));
             } else {
                 return Ok(of);
@@ -253,18 +254,18 @@
     }
 
     /// What stands between brackets, and the place behind the closing one.
-    fn list(&mut self, close: &'static str) -> Result<(Vec<Expr>, usize), Fault> {
+    fn delimited_list(&mut self, close: &'static str) -> Result<(Vec<Expr>, usize), Fault> {
         let mut parts = Vec::new();
-        let at = self.place();
-        if self.takes(close) {
+        let at = self.next_span();
+        if self.accept(close) {
             return Ok((parts, at.to));
         }
         loop {
             parts.push(self.expr()?);
-            if self.takes(",") {
+            if self.accept(",") {
                 continue;
             }
-            let to = self.want(close, "or a comma")?;
+            let to = self.expect(close, "or a comma")?;
             return Ok((parts, to));
         }
     }
@@ -281,21 +282,21 @@
             Token::Word(w) if w == "true" || w == "false" => Kind::Bool(w == "true"),
             Token::Word(w) if w != "in" => {
                 self.next();
-                if !self.takes("(") {
+                if !self.accept("(") {
                     return self.node(at.from, at.to, Kind::Name(w));
                 }
-                let (args, to) = self.list(")")?;
+                let (args, to) = self.delimited_list(")")?;
                 return self.node(at.from, to, Kind::Call { name: w, args, method: false });
             }
-            Token::Sign("(") => {
+            Token::Symbol("(") => {
                 self.next();
                 let inner = self.expr()?;
-                self.want(")", "that closes the bracket")?;
+                self.expect(")", "that closes the bracket")?;
                 return Ok(inner);
             }
-            Token::Sign("[") => {
+            Token::Symbol("[") => {
                 self.next();
-                let (parts, to) = self.list("]")?;
+                let (parts, to) = self.delimited_list("]")?;
                 return self.node(at.from, to, Kind::List(parts));
             }
             _ => return Err(self.unexpected("a value")),
--- a/crates/yarrowspoke-expr/src/program.rs
+++ b/crates/yarrowspoke-expr/src/program.rs
@@ -6,8 +6,8 @@
 
 use crate::bounds::{self, MAX_BUILT_BYTES};
 use crate::regexes::Regexes;
-use crate::request::{Request, Segments, Slice, Source};
-use crate::terms::{Affix, Const, Field, Math, Pool, Term, TermId, Type};
+use crate::request::{Request, Segments, Slice, TextSource};
+use crate::terms::{ArithmeticOp, Const, Field, Pool, Term, TermId, TextTest, Type};
 use siphasher::sip::SipHasher13;
 use std::collections::HashMap;
 use std::hash::Hasher;
@@ -27,7 +27,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Code {
+enum Instruction {
     Bool(bool),
     Int(i64),
     Text(u32),
@@ -43,13 +43,13 @@
     /// Keeps the value and jumps if it is so, else drops it.
     JumpIf(bool, u32),
     /// Drops the value and jumps if it is false.
-    Unless(u32),
+    JumpIfFalse(u32),
     /// Drops an absent value, else jumps.
-    IfThere(u32),
+    JumpIfPresent(u32),
     Jump(u32),
-    Math(Math),
+    Arithmetic(ArithmeticOp),
     Concat(u32),
-    Affix(Affix),
+    TextTest(TextTest),
     Matches(u32),
     Size,
     OneOf(u32),
@@ -57,16 +57,16 @@
     Has,
     Hash,
     ToInt,
-    Lower,
+    LowerAscii,
     /// Jumps with the value if it is known for this request.
-    Known(u32, u32),
+    LoadMemo(u32, u32),
     /// Remembers the value for this request.
-    Keep(u32),
+    StoreMemo(u32),
 }
 
 /// A piece of a program that yields one value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Part {
+pub struct CompiledExpr {
     from: u32,
     to: u32,
     /// Most steps that it takes.
@@ -75,15 +75,15 @@
 
 /// The operations of a set, flat.
 pub struct Program {
-    code: Vec<Code>,
+    code: Vec<Instruction>,
     texts: Vec<Arc<str>>,
     lists: Vec<Arc<[Const]>>,
     /// The patterns.
     pub regexes: Regexes,
-    memos: u32,
-    stack: usize,
+    memo_slots: u32,
+    max_stack: usize,
     /// Whether any operation asks for segments.
-    pub segmented: bool,
+    pub uses_segments: bool,
 }
 
 /// Turns terms into operations.
@@ -97,7 +97,7 @@
 }
 
 /// Steps from which a test that several rules share is remembered.
-const WORTH_KEEPING: u64 = 6;
+const MIN_MEMO_COST: u64 = 6;
 
 impl<'a> Compiler<'a> {
     /// A compiler of terms of `pool`, of which each is used so often.
@@ -107,9 +107,9 @@
             texts: Vec::new(),
             lists: Vec::new(),
             regexes,
-            memos: 0,
-            stack: 0,
-            segmented: false,
+            memo_slots: 0,
+            max_stack: 0,
+            uses_segments: false,
         };
         Self { pool, uses, program, memo: HashMap::new(), texts: HashMap::new(), depth: 0 }
     }
@@ -121,25 +121,25 @@
     }
 
     /// Compiles one term.
-    pub fn part(&mut self, id: TermId) -> Part {
+    pub fn compile(&mut self, id: TermId) -> CompiledExpr {
         let from = self.program.code.len() as u32;
         self.depth = 0;
-        let cost = self.put(id);
-        Part { from, to: self.program.code.len() as u32, cost }
+        let cost = self.emit_term(id);
+        CompiledExpr { from, to: self.program.code.len() as u32, cost }
     }
 
-    fn emit(&mut self, code: Code) -> usize {
+    fn emit(&mut self, code: Instruction) -> usize {
         self.program.code.push(code);
         self.program.code.len() - 1
     }
 
-    fn push(&mut self, code: Code) {
+    fn emit_push(&mut self, code: Instruction) {
         self.emit(code);
         self.depth += 1;
-        self.program.stack = self.program.stack.max(self.depth);
+        self.program.max_stack = self.program.max_stack.max(self.depth);
     }
 
-    fn here(&self) -> u32 {
+    fn next_address(&self) -> u32 {
         self.program.code.len() as u32
     }
 
@@ -152,50 +152,51 @@
     }
 
     /// Emits a term; most steps of what was emitted.
-    fn put(&mut self, id: TermId) -> u64 {
+    fn emit_term(&mut self, id: TermId) -> u64 {
         let facts = *self.pool.facts(id);
-        let shared = self.uses[id as usize] > 1 && facts.ty == Type::Bool && facts.whole >= WORTH_KEEPING;
+        let shared =
+            self.uses[id as usize] > 1 && facts.ty == Type::Bool && facts.total_cost >= MIN_MEMO_COST;
         if !shared {
-            return self.put_bare(id);
+            return self.emit_unmemoized(id);
         }
-        let memos = &mut self.program.memos;
+        let memo_slots = &mut self.program.memo_slots;
         let slot = *self.memo.entry(id).or_insert_with(|| {
-            *memos += 1;
-            *memos - 1
+            *memo_slots += 1;
+            *memo_slots - 1
         });
-        let known = self.emit(Code::Known(slot, 0));
-        let cost = self.put_bare(id);
-        self.emit(Code::Keep(slot));
-        self.program.code[known] = Code::Known(slot, self.here());
+        let known = self.emit(Instruction::LoadMemo(slot, 0));
+        let cost = self.emit_unmemoized(id);
+        self.emit(Instruction::StoreMemo(slot));
+        self.program.code[known] = Instruction::LoadMemo(slot, self.next_address());
         cost + 2
     }
 
-    fn all(&mut self, parts: &[TermId]) -> u64 {
-        parts.iter().map(|p| self.put(*p)).sum()
+    fn emit_all(&mut self, parts: &[TermId]) -> u64 {
+        parts.iter().map(|p| self.emit_term(*p)).sum()
     }
 
-    fn put_bare(&mut self, id: TermId) -> u64 {
-        let own = self.pool.facts(id).own;
+    fn emit_unmemoized(&mut self, id: TermId) -> u64 {
+        let own = self.pool.facts(id).own_cost;
         match self.pool.term(id).clone() {
-            Term::Bool(b) => self.push(Code::Bool(b)),
-            Term::Int(n, _) => self.push(Code::Int(n)),
+            Term::Bool(b) => self.emit_push(Instruction::Bool(b)),
+            Term::Int(n, _) => self.emit_push(Instruction::Int(n)),
             Term::Text(t) => {
                 let text = self.text(&t);
-                self.push(Code::Text(text));
+                self.emit_push(Instruction::Text(text));
             }
-            Term::Field(field) => self.push(Code::Field(field)),
-            Term::Header(n) => self.push(Code::Header(n)),
+            Term::Field(field) => self.emit_push(Instruction::Field(field)),
+            Term::Header(n) => self.emit_push(Instruction::Header(n)),
             Term::Query(name) => {
                 let name = self.text(&name);
-                self.push(Code::Query(name));
+                self.emit_push(Instruction::Query(name));
             }
             Term::Segment(n) => {
-                self.program.segmented = true;
-                self.push(Code::Segment(n));
+                self.program.uses_segments = true;
+                self.emit_push(Instruction::Segment(n));
             }
             Term::SegmentCount => {
-                self.program.segmented = true;
-                self.push(Code::SegmentCount);
+                self.program.uses_segments = true;
+                self.emit_push(Instruction::SegmentCount);
             }
             Term::And(parts) | Term::Or(parts) => {
                 let holds = matches!(self.pool.term(id), Term::Or(_));
@@ -203,57 +204,57 @@
                 let mut jumps = Vec::new();
                 for (n, part) in parts.iter().enumerate() {
                     if n > 0 {
-                        jumps.push(self.emit(Code::JumpIf(holds, 0)));
+                        jumps.push(self.emit(Instruction::JumpIf(holds, 0)));
                         self.depth -= 1;
                     }
-                    cost += self.put(*part);
+                    cost += self.emit_term(*part);
                 }
-                for jump in jumps {
-                    self.program.code[jump] = Code::JumpIf(holds, self.here());
+                for jump_to_end in jumps {
+                    self.program.code[jump_to_end] = Instruction::JumpIf(holds, self.next_address());
                 }
                 return cost;
             }
-            Term::Choice(test, yes, no) => {
-                let mut cost = own + self.put(test);
-                let unless = self.emit(Code::Unless(0));
+            Term::Conditional(test, yes, no) => {
+                let mut cost = own + self.emit_term(test);
+                let jump_if_false = self.emit(Instruction::JumpIfFalse(0));
                 self.depth -= 1;
-                cost += self.put(yes);
-                let jump = self.emit(Code::Jump(0));
+                cost += self.emit_term(yes);
+                let jump_to_end = self.emit(Instruction::Jump(0));
                 self.depth -= 1;
-                self.program.code[unless] = Code::Unless(self.here());
-                cost += self.put(no);
-                self.program.code[jump] = Code::Jump(self.here());
+                self.program.code[jump_if_false] = Instruction::JumpIfFalse(self.next_address());
+                cost += self.emit_term(no);
+                self.program.code[jump_to_end] = Instruction::Jump(self.next_address());
                 return cost;
             }
             Term::OrValue(of, other) => {
-                let mut cost = own + self.put(of);
-                let there = self.emit(Code::IfThere(0));
+                let mut cost = own + self.emit_term(of);
+                let jump_if_present = self.emit(Instruction::JumpIfPresent(0));
                 self.depth -= 1;
-                cost += self.put(other);
-                self.program.code[there] = Code::IfThere(self.here());
+                cost += self.emit_term(other);
+                self.program.code[jump_if_present] = Instruction::JumpIfPresent(self.next_address());
                 return cost;
             }
-            Term::Eq(a, b) => return own + self.two(a, b, Code::Eq),
-            Term::Less(a, b) => return own + self.two(a, b, Code::Less),
-            Term::LessEq(a, b) => return own + self.two(a, b, Code::LessEq),
-            Term::Math(math, a, b) => return own + self.two(a, b, Code::Math(math)),
-            Term::Affix(affix, a, b) => return own + self.two(a, b, Code::Affix(affix)),
-            Term::Not(a) => return own + self.one(a, Code::Not),
-            Term::Matches(a, regex) => return own + self.one(a, Code::Matches(regex)),
-            Term::Size(a) => return own + self.one(a, Code::Size),
-            Term::InSegments(a) => return own + self.one(a, Code::InSegments),
-            Term::Has(a) => return own + self.one(a, Code::Has),
-            Term::Hash(a) => return own + self.one(a, Code::Hash),
-            Term::ToInt(a) => return own + self.one(a, Code::ToInt),
-            Term::Lower(a) => return own + self.one(a, Code::Lower),
+            Term::Eq(a, b) => return own + self.emit_binary(a, b, Instruction::Eq),
+            Term::Less(a, b) => return own + self.emit_binary(a, b, Instruction::Less),
+            Term::LessEq(a, b) => return own + self.emit_binary(a, b, Instruction::LessEq),
+            Term::Arithmetic(op, a, b) => return own + self.emit_binary(a, b, Instruction::Arithmetic(op)),
+            Term::TextTest(affix, a, b) => return own + self.emit_binary(a, b, Instruction::TextTest(affix)),
+            Term::Not(a) => return own + self.emit_unary(a, Instruction::Not),
+            Term::Matches(a, regex) => return own + self.emit_unary(a, Instruction::Matches(regex)),
+            Term::Size(a) => return own + self.emit_unary(a, Instruction::Size),
+            Term::InSegments(a) => return own + self.emit_unary(a, Instruction::InSegments),
+            Term::Has(a) => return own + self.emit_unary(a, Instruction::Has),
+            Term::Hash(a) => return own + self.emit_unary(a, Instruction::Hash),
+            Term::ToInt(a) => return own + self.emit_unary(a, Instruction::ToInt),
+            Term::LowerAscii(a) => return own + self.emit_unary(a, Instruction::LowerAscii),
             Term::OneOf(a, list) => {
                 self.program.lists.push(list);
                 let list = self.program.lists.len() as u32 - 1;
-                return own + self.one(a, Code::OneOf(list));
+                return own + self.emit_unary(a, Instruction::OneOf(list));
             }
             Term::Concat(parts) => {
-                let cost = own + self.all(&parts);
-                self.emit(Code::Concat(parts.len() as u32));
+                let cost = own + self.emit_all(&parts);
+                self.emit(Instruction::Concat(parts.len() as u32));
                 self.depth -= parts.len() - 1;
                 return cost;
             }
@@ -261,14 +262,14 @@
         own
     }
 
-    fn one(&mut self, a: TermId, code: Code) -> u64 {
-        let cost = self.put(a);
+    fn emit_unary(&mut self, a: TermId, code: Instruction) -> u64 {
+        let cost = self.emit_term(a);
         self.emit(code);
         cost
     }
 
-    fn two(&mut self, a: TermId, b: TermId, code: Code) -> u64 {
-        let cost = self.put(a) + self.put(b);
+    fn emit_binary(&mut self, a: TermId, b: TermId, code: Instruction) -> u64 {
+        let cost = self.emit_term(a) + self.emit_term(b);
         self.emit(code);
         self.depth -= 1;
         cost
@@ -282,7 +283,7 @@
         let entry = |c: &Const| if let Const::Text(t) = c { t.len() + 32 } else { 24 };
         let lists = self.lists.iter().flat_map(|l| l.iter()).map(entry).sum::<usize>();
         let regexes = self.regexes.all.iter().map(|r| r.bytes()).sum::<usize>();
-        self.code.len() * size_of::<Code>() + texts + lists + regexes + 16 * self.memos as usize
+        self.code.len() * size_of::<Instruction>() + texts + lists + regexes + 16 * self.memo_slots as usize
     }
 }
 
@@ -290,7 +291,7 @@
 pub struct Machine {
     stack: Vec<Value>,
     memo: Vec<(u64, Value)>,
-    round: u64,
+    request_number: u64,
     built: String,
     segments: Segments,
     /// Steps counted for the present request.
@@ -305,9 +306,9 @@
     /// A machine for one program.
     pub fn new(program: &Program) -> Self {
         Self {
-            stack: Vec::with_capacity(program.stack + 1),
-            memo: vec![(0, Value::Absent); program.memos as usize],
-            round: 0,
+            stack: Vec::with_capacity(program.max_stack + 1),
+            memo: vec![(0, Value::Absent); program.memo_slots as usize],
+            request_number: 0,
             built: String::with_capacity(MAX_BUILT_BYTES),
             segments: Segments::default(),
             steps: 0,
@@ -315,27 +316,27 @@
     }
 
     /// Begins with another request: what is known of the one before is forgotten.
-    pub fn begin(&mut self, program: &Program, request: &Request) {
-        self.round += 1;
+    pub fn start_request(&mut self, program: &Program, request: &Request) {
+        self.request_number += 1;
         self.steps = 0;
-        if program.segmented {
-            self.segments.of(request.path());
+        if program.uses_segments {
+            self.segments.split_path(request.path());
         }
     }
 
     /// A text that [`Machine::run`] gave, until it runs again.
     pub fn text<'t>(&'t self, program: &'t Program, request: &Request<'t>, slice: Slice) -> &'t str {
-        text_of(program, &self.built, request, slice)
+        resolve_text(program, &self.built, request, slice)
     }
 
     /// Runs a part. With `COUNTED` the steps in fact taken are added to [`Machine::steps`].
     pub fn run<const COUNTED: bool>(
         &mut self,
         program: &Program,
-        part: Part,
+        part: CompiledExpr,
         request: &Request,
     ) -> Result<Value, NoValue> {
-        let Self { stack, memo, round, built, segments, steps } = self;
+        let Self { stack, memo, request_number, built, segments, steps } = self;
         stack.clear();
         built.clear();
         let mut at = part.from as usize;
@@ -354,10 +355,10 @@
         }
         macro_rules! text {
             ($slice:expr) => {
-                text_of(program, built, request, $slice)
+                resolve_text(program, built, request, $slice)
             };
         }
-        macro_rules! pay {
+        macro_rules! add_steps {
             ($steps:expr) => {
                 if COUNTED {
                     *steps += $steps;
@@ -368,21 +369,21 @@
             let code = program.code[at];
             at += 1;
             match code {
-                Code::Bool(b) => {
-                    pay!(1);
+                Instruction::Bool(b) => {
+                    add_steps!(1);
                     stack.push(Value::Bool(b));
                 }
-                Code::Int(n) => {
-                    pay!(1);
+                Instruction::Int(n) => {
+                    add_steps!(1);
                     stack.push(Value::Int(n));
                 }
-                Code::Text(n) => {
-                    pay!(1);
+                Instruction::Text(n) => {
+                    add_steps!(1);
                     let bytes = program.texts[n as usize].len();
-                    stack.push(Value::Text(Slice::whole(Source::Const(n), bytes)));
+                    stack.push(Value::Text(Slice::whole(TextSource::Const(n), bytes)));
                 }
-                Code::Field(field) => {
-                    pay!(if field == Field::Key { bounds::scan(request.target.len()) } else { 1 });
+                Instruction::Field(field) => {
+                    add_steps!(if field == Field::Key { bounds::scan_cost(request.target.len()) } else { 1 });
                     stack.push(match field {
                         Field::Budget => Value::Int(request.budget),
                         Field::Length => Value::Int(request.length),
@@ -392,135 +393,134 @@
                         _ => Value::Text(request.field(field)),
                     });
                 }
-                Code::Header(n) => {
-                    pay!(1);
+                Instruction::Header(n) => {
+                    add_steps!(1);
                     let value = request.headers.get(usize::from(n)).and_then(|h| h.as_ref());
-                    stack
-                        .push(value.map_or(Value::Absent, |h| {
-                            Value::Text(Slice::whole(Source::Header(n), h.len()))
-                        }));
+                    stack.push(value.map_or(Value::Absent, |h| {
+                        Value::Text(Slice::whole(TextSource::Header(n), h.len()))
+                    }));
                 }
-                Code::Query(name) => {
-                    pay!(bounds::scan(request.target.len()));
+                Instruction::Query(name) => {
+                    add_steps!(bounds::scan_cost(request.target.len()));
                     let found = request.query(&program.texts[name as usize]);
                     stack.push(found.map_or(Value::Absent, Value::Text));
                 }
-                Code::Segment(n) => {
-                    pay!(1);
+                Instruction::Segment(n) => {
+                    add_steps!(1);
                     stack.push(segments.get(usize::from(n)).map_or(Value::Absent, Value::Text));
                 }
-                Code::SegmentCount => {
-                    pay!(1);
+                Instruction::SegmentCount => {
+                    add_steps!(1);
                     stack.push(Value::Int(segments.count as i64));
                 }
-                Code::Eq => {
+                Instruction::Eq => {
                     let (b, a) = (pop!(), pop!());
                     let same = match (a, b) {
                         (Value::Text(a), Value::Text(b)) => {
-                            pay!(bounds::compare(a.bytes(), b.bytes()));
+                            add_steps!(bounds::compare_cost(a.bytes(), b.bytes()));
                             text!(a) == text!(b)
                         }
                         _ => {
-                            pay!(1);
+                            add_steps!(1);
                             a == b
                         }
                     };
                     stack.push(Value::Bool(same));
                 }
-                Code::Less | Code::LessEq => {
+                Instruction::Less | Instruction::LessEq => {
                     let (b, a) = (pop!(), pop!());
                     let order = match (a, b) {
                         (Value::Text(a), Value::Text(b)) => {
-                            pay!(bounds::compare(a.bytes(), b.bytes()));
+                            add_steps!(bounds::compare_cost(a.bytes(), b.bytes()));
                             text!(a).cmp(text!(b))
                         }
                         (Value::Int(a), Value::Int(b)) => {
-                            pay!(1);
+                            add_steps!(1);
                             a.cmp(&b)
                         }
                         _ => return Err(NoValue),
                     };
-                    let holds = order.is_lt() || matches!(code, Code::LessEq) && order.is_eq();
+                    let holds = order.is_lt() || matches!(code, Instruction::LessEq) && order.is_eq();
                     stack.push(Value::Bool(holds));
                 }
-                Code::Not => {
-                    pay!(1);
+                Instruction::Not => {
+                    add_steps!(1);
                     let b = pop!(Bool);
                     stack.push(Value::Bool(!b));
                 }
-                Code::JumpIf(holds, to) => {
-                    pay!(1);
+                Instruction::JumpIf(holds, to) => {
+                    add_steps!(1);
                     if stack.last() == Some(&Value::Bool(holds)) {
                         at = to as usize;
                     } else {
                         stack.pop();
                     }
                 }
-                Code::Unless(to) => {
-                    pay!(1);
+                Instruction::JumpIfFalse(to) => {
+                    add_steps!(1);
                     if !pop!(Bool) {
                         at = to as usize;
                     }
                 }
-                Code::IfThere(to) => {
-                    pay!(1);
+                Instruction::JumpIfPresent(to) => {
+                    add_steps!(1);
                     if stack.last() == Some(&Value::Absent) {
                         stack.pop();
                     } else {
                         at = to as usize;
                     }
                 }
-                Code::Jump(to) => {
-                    pay!(1);
+                Instruction::Jump(to) => {
+                    add_steps!(1);
                     at = to as usize;
                 }
-                Code::Math(math) => {
-                    pay!(1);
+                Instruction::Arithmetic(op) => {
+                    add_steps!(1);
                     let (b, a) = (pop!(Int), pop!(Int));
-                    stack.push(Value::Int(math.of(a, b).ok_or(NoValue)?));
+                    stack.push(Value::Int(op.apply(a, b).ok_or(NoValue)?));
                 }
-                Code::Concat(n) => {
+                Instruction::Concat(n) => {
                     let from = stack.len().checked_sub(n as usize).ok_or(NoValue)?;
-                    let begun = built.len();
+                    let start = built.len();
                     for part in &stack[from..] {
                         let Value::Text(slice) = *part else { return Err(NoValue) };
-                        if slice.source == Source::Built {
+                        if slice.source == TextSource::Built {
                             built.extend_from_within(slice.from as usize..slice.to as usize);
                         } else {
-                            let text = text_of(program, "", request, slice);
+                            let text = resolve_text(program, "", request, slice);
                             built.push_str(text);
                         }
                     }
-                    pay!(u64::from(n) + bounds::chunks(built.len() - begun));
+                    add_steps!(u64::from(n) + bounds::copy_cost(built.len() - start));
                     stack.truncate(from);
-                    stack.push(built_since(built, begun));
+                    stack.push(built_from(built, start));
                 }
-                Code::Affix(affix) => {
+                Instruction::TextTest(affix) => {
                     let (b, a) = (pop!(Text), pop!(Text));
                     let (of, by) = (text!(a), text!(b));
                     let holds = match affix {
-                        Affix::Starts => of.starts_with(by),
-                        Affix::Ends => of.ends_with(by),
-                        Affix::Holds => memchr::memmem::find(of.as_bytes(), by.as_bytes()).is_some(),
+                        TextTest::StartsWith => of.starts_with(by),
+                        TextTest::EndsWith => of.ends_with(by),
+                        TextTest::Contains => memchr::memmem::find(of.as_bytes(), by.as_bytes()).is_some(),
                     };
-                    pay!(match affix {
-                        Affix::Holds => bounds::scan(of.len() + by.len()),
-                        _ => bounds::compare(of.len(), by.len()),
+                    add_steps!(match affix {
+                        TextTest::Contains => bounds::scan_cost(of.len() + by.len()),
+                        _ => bounds::compare_cost(of.len(), by.len()),
                     });
                     stack.push(Value::Bool(holds));
                 }
-                Code::Matches(regex) => {
+                Instruction::Matches(regex) => {
                     let of = pop!(Text);
-                    let (found, read) = program.regexes.all[regex as usize].finds(text!(of).as_bytes());
-                    pay!(bounds::scan(read));
+                    let (found, read) = program.regexes.all[regex as usize].search(text!(of).as_bytes());
+                    add_steps!(bounds::scan_cost(read));
                     stack.push(Value::Bool(found));
                 }
-                Code::Size => {
-                    pay!(1);
+                Instruction::Size => {
+                    add_steps!(1);
                     let of = pop!(Text);
                     stack.push(Value::Int(of.bytes() as i64));
                 }
-                Code::OneOf(list) => {
+                Instruction::OneOf(list) => {
                     let of = pop!();
                     let list = &program.lists[list as usize];
                     let (found, met) = match of {
@@ -537,56 +537,56 @@
                     };
                     if COUNTED {
                         let longest = list.iter().map(|c| if let Const::Text(t) = c { t.len() } else { 0 });
-                        pay!(bounds::search(list.len(), longest.max().unwrap_or(0), met));
+                        add_steps!(bounds::search_cost(list.len(), longest.max().unwrap_or(0), met));
                     }
                     stack.push(Value::Bool(found));
                 }
-                Code::InSegments => {
+                Instruction::InSegments => {
                     let of = pop!(Text);
                     let (text, path) = (text!(of), request.path());
                     let inner = path.strip_prefix('/').unwrap_or(path);
-                    pay!(2 * bounds::scan(path.len()) + bounds::chunks(of.bytes()));
+                    add_steps!(2 * bounds::scan_cost(path.len()) + bounds::copy_cost(of.bytes()));
                     stack.push(Value::Bool(inner.split('/').any(|s| s == text)));
                 }
-                Code::Has => {
-                    pay!(1);
+                Instruction::Has => {
+                    add_steps!(1);
                     let of = pop!();
                     stack.push(Value::Bool(of != Value::Absent));
                 }
-                Code::Hash => {
+                Instruction::Hash => {
                     let of = pop!(Text);
-                    pay!(bounds::lookup(of.bytes()));
+                    add_steps!(bounds::lookup_cost(of.bytes()));
                     stack.push(Value::Int(hash(text!(of))));
                 }
-                Code::ToInt => {
+                Instruction::ToInt => {
                     let of = pop!(Text);
-                    pay!(bounds::scan(of.bytes().min(bounds::MAX_INT_BYTES)));
+                    add_steps!(bounds::scan_cost(of.bytes().min(bounds::MAX_INT_BYTES)));
                     stack.push(to_int(text!(of)).map_or(Value::Absent, Value::Int));
                 }
-                Code::Lower => {
+                Instruction::LowerAscii => {
                     let of = pop!(Text);
-                    pay!(bounds::scan(of.bytes()));
-                    let begun = built.len();
-                    if of.source == Source::Built {
+                    add_steps!(bounds::scan_cost(of.bytes()));
+                    let start = built.len();
+                    if of.source == TextSource::Built {
                         built.extend_from_within(of.from as usize..of.to as usize);
                     } else {
-                        built.push_str(text_of(program, "", request, of));
+                        built.push_str(resolve_text(program, "", request, of));
                     }
-                    built[begun..].make_ascii_lowercase();
-                    stack.push(built_since(built, begun));
+                    built[start..].make_ascii_lowercase();
+                    stack.push(built_from(built, start));
                 }
-                Code::Known(slot, to) => {
-                    pay!(1);
+                Instruction::LoadMemo(slot, to) => {
+                    add_steps!(1);
                     let (of, value) = memo[slot as usize];
-                    if of == *round {
+                    if of == *request_number {
                         stack.push(value);
                         at = to as usize;
                     }
                 }
-                Code::Keep(slot) => {
-                    pay!(1);
+                Instruction::StoreMemo(slot) => {
+                    add_steps!(1);
                     if let Some(value) = stack.last() {
-                        memo[slot as usize] = (*round, *value);
+                        memo[slot as usize] = (*request_number, *value);
                     }
                 }
             }
@@ -595,19 +595,19 @@
     }
 }
 
-fn built_since(built: &str, begun: usize) -> Value {
-    Value::Text(Slice { source: Source::Built, from: begun as u32, to: built.len() as u32 })
+fn built_from(built: &str, start: usize) -> Value {
+    Value::Text(Slice { source: TextSource::Built, from: start as u32, to: built.len() as u32 })
 }
 
-fn text_of<'t>(program: &'t Program, built: &'t str, request: &Request<'t>, slice: Slice) -> &'t str {
+fn resolve_text<'t>(program: &'t Program, built: &'t str, request: &Request<'t>, slice: Slice) -> &'t str {
     let whole = match slice.source {
-        Source::Const(n) => program.texts.get(n as usize).map_or("", |t| t.as_ref()),
-        Source::Method => request.method,
-        Source::Target => request.target,
-        Source::Class => request.class,
-        Source::Tenant => request.tenant,
-        Source::Header(n) => request.headers.get(usize::from(n)).and_then(|h| h.as_deref()).unwrap_or(""),
-        Source::Built => built,
+        TextSource::Const(n) => program.texts.get(n as usize).map_or("", |t| t.as_ref()),
+        TextSource::Method => request.method,
+        TextSource::Target => request.target,
+        TextSource::Class => request.class,
+        TextSource::Tenant => request.tenant,
+        TextSource::Header(n) => request.headers.get(usize::from(n)).and_then(|h| h.as_deref()).unwrap_or(""),
+        TextSource::Built => built,
     };
     whole.get(slice.from as usize..slice.to as usize).unwrap_or("")
 }
--- a/crates/yarrowspoke-expr/src/regexes.rs
+++ b/crates/yarrowspoke-expr/src/regexes.rs
@@ -32,12 +32,12 @@
             .syntax(syntax::Config::new().unicode(false).utf8(false).nest_limit(32))
             .thompson(thompson::Config::new().utf8(false).nfa_size_limit(Some(MAX_AUTOMATON_BUILD_BYTES)))
             .build(pattern)
-            .map_err(|e| told(&e))?;
+            .map_err(|e| expected_pattern(&e))?;
         Ok(Self { automaton })
     }
 
     /// Whether it matches somewhere in `text`, and how many bytes were looked at.
-    pub fn finds(&self, text: &[u8]) -> (bool, usize) {
+    pub fn search(&self, text: &[u8]) -> (bool, usize) {
         let dfa = &self.automaton;
         let Ok(mut state) = dfa.start_state(&Start::new().anchored(Anchored::No)) else { return (false, 0) };
         for (n, byte) in text.iter().enumerate() {
@@ -60,7 +60,7 @@
     }
 }
 
-fn told(e: &dense::BuildError) -> String {
+fn expected_pattern(e: &dense::BuildError) -> String {
     let mut cause: &dyn std::error::Error = e;
     while let Some(inner) = cause.source() {
         cause = inner;
@@ -79,24 +79,24 @@
 pub struct Regexes {
     /// The patterns, by number.
     pub all: Vec<Regex>,
-    known: HashMap<String, u32>,
+    numbers: HashMap<String, u32>,
 }
 
 impl Regexes {
     /// The number of a pattern, known or new.
     pub fn add(&mut self, pattern: &str) -> Result<u32, String> {
-        if let Some(known) = self.known.get(pattern) {
-            return Ok(*known);
+        if let Some(number) = self.numbers.get(pattern) {
+            return Ok(*number);
         }
         let made = Regex::new(pattern)?;
         self.all.push(made);
         let number = self.all.len() as u32 - 1;
-        self.known.insert(pattern.to_owned(), number);
+        self.numbers.insert(pattern.to_owned(), number);
         Ok(number)
     }
 
     /// The number of a pattern that was added.
     pub fn find(&self, pattern: &str) -> Option<&Regex> {
-        self.known.get(pattern).and_then(|n| self.all.get(*n as usize))
+        self.numbers.get(pattern).and_then(|n| self.all.get(*n as usize))
     }
 }
--- a/crates/yarrowspoke-expr/src/request.rs
+++ b/crates/yarrowspoke-expr/src/request.rs
@@ -40,7 +40,7 @@
 
 /// Where a text lies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum TextSource {
     /// Among the program's constants.
     Const(u32),
     /// In the request.
@@ -61,7 +61,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Slice {
     /// Where it lies.
-    pub source: Source,
+    pub source: TextSource,
     /// First byte.
     pub from: u32,
     /// Byte behind the last.
@@ -70,7 +70,7 @@
 
 impl Slice {
     /// The whole of a source of so many bytes.
-    pub fn whole(source: Source, bytes: usize) -> Self {
+    pub fn whole(source: TextSource, bytes: usize) -> Self {
         Self { source, from: 0, to: bytes as u32 }
     }
 
@@ -86,8 +86,8 @@
         if self.target.len() > bounds.max_target_bytes {
             return Err(TooLong::Target);
         }
-        let long = |h: &Option<String>| h.as_ref().is_some_and(|h| h.len() > bounds.max_header_bytes);
-        if self.method.len() > MAX_METHOD_BYTES || self.headers.iter().any(long) {
+        let too_long = |h: &Option<String>| h.as_ref().is_some_and(|h| h.len() > bounds.max_header_bytes);
+        if self.method.len() > MAX_METHOD_BYTES || self.headers.iter().any(too_long) {
             return Err(TooLong::Header);
         }
         Ok(())
@@ -107,7 +107,7 @@
             if let Some(value) = value {
                 let (begin, to) = (from + name.len() + 1, from + part.len());
                 debug_assert_eq!(value.len(), to - begin);
-                return Some(Slice { source: Source::Target, from: begin as u32, to: to as u32 });
+                return Some(Slice { source: TextSource::Target, from: begin as u32, to: to as u32 });
             }
             from += part.len() + 1;
         }
@@ -117,11 +117,11 @@
     /// A text field.
     pub fn field(&self, field: Field) -> Slice {
         match field {
-            Field::Method => Slice::whole(Source::Method, self.method.len()),
-            Field::Class => Slice::whole(Source::Class, self.class.len()),
-            Field::Tenant => Slice::whole(Source::Tenant, self.tenant.len()),
-            Field::Path => Slice::whole(Source::Target, self.path().len()),
-            _ => Slice::whole(Source::Target, self.target.len()),
+            Field::Method => Slice::whole(TextSource::Method, self.method.len()),
+            Field::Class => Slice::whole(TextSource::Class, self.class.len()),
+            Field::Tenant => Slice::whole(TextSource::Tenant, self.tenant.len()),
+            Field::Path => Slice::whole(TextSource::Target, self.path().len()),
+            _ => Slice::whole(TextSource::Target, self.target.len()),
         }
     }
 }
@@ -129,20 +129,20 @@
 /// Where the path's segments lie, found in one pass.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Segments {
-    places: [(u32, u32); MAX_SEGMENTS],
+    spans: [(u32, u32); MAX_SEGMENTS],
     /// How many segments the path has, those past the ones kept included.
     pub count: usize,
 }
 
 impl Segments {
     /// Takes a path apart. The empty text before its first `/` is no segment.
-    pub fn of(&mut self, path: &str) {
+    pub fn split_path(&mut self, path: &str) {
         let from = usize::from(path.starts_with('/'));
         let mut at = from;
         self.count = 0;
         for part in path[from..].split('/') {
-            if let Some(place) = self.places.get_mut(self.count) {
-                *place = (at as u32, (at + part.len()) as u32);
+            if let Some(span) = self.spans.get_mut(self.count) {
+                *span = (at as u32, (at + part.len()) as u32);
             }
             self.count += 1;
             at += part.len() + 1;
@@ -151,7 +151,7 @@
 
     /// A segment by its number.
     pub fn get(&self, n: usize) -> Option<Slice> {
-        let (from, to) = *self.places.get(n).filter(|_| n < self.count)?;
-        Some(Slice { source: Source::Target, from, to })
+        let (from, to) = *self.spans.get(n).filter(|_| n < self.count)?;
+        Some(Slice { source: TextSource::Target, from, to })
     }
 }
--- a/crates/yarrowspoke-expr/src/ruling.rs
+++ b/crates/yarrowspoke-expr/src/ruling.rs
@@ -109,26 +109,27 @@
         let wanted = format!("at most the settings' {}", deployment.max_attempts);
         faults.push((format!("{n} attempts"), wanted));
     }
-    let mut once = actions.at_most_once;
+    let mut at_most_once = actions.at_most_once;
     if let Some(target) = class {
-        for (own, name) in deployment.class_names.iter().enumerate() {
+        for (own_class, name) in deployment.class_names.iter().enumerate() {
             if holds.is_some_and(|h| !h.contains(name)) {
                 continue;
             }
-            if let Some(wanted) = looser(&deployment.classes[own], &deployment.classes[target]) {
+            if let Some(wanted) = loosening_fault(&deployment.classes[own_class], &deployment.classes[target])
+            {
                 faults.push((
                     format!("class {} for requests of class {name}", deployment.class_names[target]),
                     wanted,
                 ));
             }
         }
-        once |= deployment.classes[target].idempotency == Idempotency::AtMostOnce;
+        at_most_once |= deployment.classes[target].idempotency == Idempotency::AtMostOnce;
     }
     if !faults.is_empty() {
         return Err(faults);
     }
     let policy = RequestPolicy {
-        at_most_once: once,
+        at_most_once,
         max_attempts: actions.attempts,
         value_class: class.map(|c| c as u8),
         hash_key: None,
@@ -142,23 +143,27 @@
     Ok(BoundActions { policy, tenant: tenant.map(|t| t as u32), budget: actions.budget, limit })
 }
 
-/// What would be expected, if counting a request of class `own` as `target` were to loosen what guards it.
-fn looser(own: &Class, target: &Class) -> Option<String> {
+/// What would be expected, if counting a request of class `own_class` as `target` were to loosen what guards it.
+fn loosening_fault(own_class: &Class, target: &Class) -> Option<String> {
     let group = |c: &Class| match c.dedup_scope {
         DedupScope::All => "all machines",
         DedupScope::Zone => "one zone",
         DedupScope::Cell => "one cell",
     };
-    match (own.idempotency, target.idempotency) {
+    match (own_class.idempotency, target.idempotency) {
         (Idempotency::Idempotent, _) | (_, Idempotency::AtMostOnce) => None,
         (Idempotency::AtMostOnce, _) => Some("a class that must never run twice either".to_owned()),
         (Idempotency::Keyed, Idempotency::Idempotent) => {
             Some("a class at least as strict: keyed or never twice".to_owned())
         }
         (Idempotency::Keyed, Idempotency::Keyed) => {
-            let same = own.dedup_scope == target.dedup_scope && own.dedup_window == target.dedup_window;
-            let wanted =
-                format!("a keyed class whose repeats {} drop for {} us", group(own), own.dedup_window);
+            let same =
+                own_class.dedup_scope == target.dedup_scope && own_class.dedup_window == target.dedup_window;
+            let wanted = format!(
+                "a keyed class whose repeats {} drop for {} us",
+                group(own_class),
+                own_class.dedup_window
+            );
             (!same).then_some(wanted)
         }
     }
@@ -181,23 +186,24 @@
 
 impl Ruling {
     /// Takes in what one more rule says. Of bounds the tightest holds, of everything else the first that says it.
-    pub fn add(&mut self, bound_actions: &BoundActions, subject: Option<u64>) {
-        let (mine, new) = (&mut self.policy, &bound_actions.policy);
+    pub fn add(&mut self, bound: &BoundActions, subject: Option<u64>) {
+        let (combined, added) = (&mut self.policy, &bound.policy);
         self.matched += 1;
-        mine.at_most_once |= new.at_most_once;
-        mine.max_attempts = least(mine.max_attempts, new.max_attempts);
-        mine.value_class = mine.value_class.or(new.value_class);
-        mine.hash_key = mine.hash_key.or(subject);
-        mine.preferred_zone = mine.preferred_zone.or(new.preferred_zone);
-        mine.preferred_kind = mine.preferred_kind.or(new.preferred_kind);
+        combined.at_most_once |= added.at_most_once;
+        combined.max_attempts = min_option(combined.max_attempts, added.max_attempts);
+        combined.value_class = combined.value_class.or(added.value_class);
+        combined.hash_key = combined.hash_key.or(subject);
+        combined.preferred_zone = combined.preferred_zone.or(added.preferred_zone);
+        combined.preferred_kind = combined.preferred_kind.or(added.preferred_kind);
         // The longest time to come back: sooner, another rule would refuse it again.
-        mine.refuse_with_retry_after = mine.refuse_with_retry_after.max(new.refuse_with_retry_after);
-        self.tenant = self.tenant.or(bound_actions.tenant);
-        self.budget = least(self.budget, bound_actions.budget);
+        combined.refuse_with_retry_after =
+            combined.refuse_with_retry_after.max(added.refuse_with_retry_after);
+        self.tenant = self.tenant.or(bound.tenant);
+        self.budget = min_option(self.budget, bound.budget);
     }
 }
 
-fn least<T: Ord>(a: Option<T>, b: Option<T>) -> Option<T> {
+fn min_option<T: Ord>(a: Option<T>, b: Option<T>) -> Option<T> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.min(b)),
         (a, b) => a.or(b),
--- a/crates/yarrowspoke-expr/src/set.rs
+++ b/crates/yarrowspoke-expr/src/set.rs
@@ -5,9 +5,9 @@
 use crate::check::Checker;
 use crate::index::Index;
 use crate::interpreter;
-use crate::logic::{all_of, any_of, never, shadowed, texts};
+use crate::logic::{allowed_texts, conjuncts, disjuncts, find_shadowed, is_never_true};
 use crate::parse::parse;
-use crate::program::{hash, Compiler, Machine, Part, Program, Value};
+use crate::program::{hash, CompiledExpr, Compiler, Machine, Program, Value};
 use crate::regexes::Regexes;
 use crate::request::Request;
 use crate::ruling::{bind, BoundActions, Deployment, RuleActions, RuleFault, RulePart, Ruling};
@@ -52,16 +52,16 @@
 struct Rule {
     name: String,
     actions: RuleActions,
-    when: Part,
-    subject: Option<Part>,
-    limit_key: Option<Part>,
+    when: CompiledExpr,
+    subject: Option<CompiledExpr>,
+    limit_key: Option<CompiledExpr>,
     bound_actions: BoundActions,
     /// Number of its limit, the same before and after a reload.
     limit_id: u64,
     /// Its condition as it was written, for `explain`.
     text: String,
     /// Classes for which it can hold, if its condition names them.
-    holds: Option<BTreeSet<String>>,
+    possible_classes: Option<BTreeSet<String>>,
     /// It holds for every request of those classes.
     whole_class: bool,
 }
@@ -102,13 +102,13 @@
 }
 
 /// Steps of every request, whatever the rules: the call itself.
-const BEGIN: u64 = 4;
+const BASE_COST: u64 = 4;
 
 impl RuleSet {
     /// Compiles a set; all faults that are found in one reading.
     pub fn compile(source: &RuleSetSource) -> Result<Self, Vec<RuleFault>> {
         let mut faults = Vec::new();
-        let whole = |rule, found: String, expected: String| RuleFault {
+        let whole_rule_fault = |rule, found: String, expected: String| RuleFault {
             rule,
             rule_part: RulePart::Whole,
             at: Span::default(),
@@ -117,48 +117,59 @@
         };
         if source.rules.len() > MAX_RULES {
             let found = format!("{} rules", source.rules.len());
-            return Err(vec![whole(None, found, format!("at most {MAX_RULES}"))]);
+            return Err(vec![whole_rule_fault(None, found, format!("at most {MAX_RULES}"))]);
         }
         let mut pool = Pool::new(source.bounds);
         let mut regexes = Regexes::default();
-        let mut read: Vec<Read> = Vec::new();
+        let mut checked_rules: Vec<CheckedRule> = Vec::new();
         let mut named: HashMap<&str, usize> = HashMap::new();
         for (n, rule) in source.rules.iter().enumerate() {
             if let Some(first) = named.insert(&rule.name, n) {
                 let wanted = format!("another name: rule {} has it", first + 1);
-                faults.push(whole(Some(n), format!("a second rule {}", rule.name), wanted));
+                faults.push(whole_rule_fault(Some(n), format!("a second rule {}", rule.name), wanted));
             }
             if rule.actions.is_empty() {
                 let wanted = "something that it says: class, effect, refuse and so on".to_owned();
-                faults.push(whole(Some(n), format!("rule {} that says nothing", rule.name), wanted));
+                faults.push(whole_rule_fault(
+                    Some(n),
+                    format!("rule {} that says nothing", rule.name),
+                    wanted,
+                ));
             }
-            let mut take = |rule_part: RulePart, text: &str, ty: Type, dear: &mut Dear| {
-                let mut checker =
-                    Checker { pool: &mut pool, regexes: &mut regexes, costliest: (0, Span::default()) };
-                let done = parse(text).and_then(|tree| checker.root(&tree, ty));
-                dear.note(checker.costliest, rule_part, text);
-                match done {
-                    Ok(done) => Some(done),
-                    Err(Fault { at, found, expected }) => {
-                        faults.push(RuleFault { rule: Some(n), rule_part, at, found, expected });
-                        None
+            let mut check_text =
+                |rule_part: RulePart, text: &str, ty: Type, costliest: &mut CostliestOperation| {
+                    let mut checker =
+                        Checker { pool: &mut pool, regexes: &mut regexes, costliest: (0, Span::default()) };
+                    let done = parse(text).and_then(|tree| checker.check_root(&tree, ty));
+                    costliest.record(checker.costliest, rule_part, text);
+                    match done {
+                        Ok(done) => Some(done),
+                        Err(Fault { at, found, expected }) => {
+                            faults.push(RuleFault { rule: Some(n), rule_part, at, found, expected });
+                            None
+                        }
                     }
-                }
-            };
-            let mut dear = Dear::default();
-            let when = take(RulePart::When, &rule.when, Type::Bool, &mut dear);
-            let subject = rule.actions.subject.as_ref().map(|s| take(RulePart::Subject, s, TEXT, &mut dear));
+                };
+            let mut costliest = CostliestOperation::default();
+            let when = check_text(RulePart::When, &rule.when, Type::Bool, &mut costliest);
+            let subject =
+                rule.actions.subject.as_ref().map(|s| check_text(RulePart::Subject, s, TEXT, &mut costliest));
             let key = rule.actions.limit.as_ref().and_then(|l| l.key.as_ref());
-            let key = key.map(|k| take(RulePart::LimitKey, k, TEXT, &mut dear));
+            let key = key.map(|k| check_text(RulePart::LimitKey, k, TEXT, &mut costliest));
             if let Some(when) = when {
-                read.push(Read { when, subject: subject.flatten(), key: key.flatten(), dear });
+                checked_rules.push(CheckedRule {
+                    when,
+                    subject: subject.flatten(),
+                    key: key.flatten(),
+                    costliest,
+                });
             }
             // Danger: patterns are made while the file is read, and thousands of large ones would fill the memory
             // before the whole is weighed.
             let made: usize = regexes.all.iter().map(|r| r.bytes()).sum();
             if made > source.bounds.max_bytes {
                 let found = format!("regular expressions of {made} bytes up to rule {}", rule.name);
-                faults.push(whole(
+                faults.push(whole_rule_fault(
                     Some(n),
                     found,
                     format!("at most {} for the set", source.bounds.max_bytes),
@@ -169,31 +180,32 @@
         if !faults.is_empty() {
             return Err(faults);
         }
-        Self::assemble(source, pool, regexes, read)
+        Self::assemble(source, pool, regexes, checked_rules)
     }
 
     fn assemble(
         source: &RuleSetSource,
         pool: Pool,
         regexes: Regexes,
-        read: Vec<Read>,
+        checked_rules: Vec<CheckedRule>,
     ) -> Result<Self, Vec<RuleFault>> {
-        let uses = uses(&pool, &read);
-        let mut compiler = Compiler::new(&pool, &uses, regexes);
+        let term_uses = term_uses(&pool, &checked_rules);
+        let mut compiler = Compiler::new(&pool, &term_uses, regexes);
         let mut rules = Vec::new();
-        let mut weights = Vec::new();
+        let mut rule_costs = Vec::new();
         let mut action_costs = Vec::new();
-        for (rule, read) in source.rules.iter().zip(&read) {
-            let when = compiler.part(read.when);
-            let subject = read.subject.map(|id| compiler.part(id));
-            let limit_key = read.key.map(|id| compiler.part(id));
+        for (rule, checked_rules) in source.rules.iter().zip(&checked_rules) {
+            let when = compiler.compile(checked_rules.when);
+            let subject = checked_rules.subject.map(|id| compiler.compile(id));
+            let limit_key = checked_rules.key.map(|id| compiler.compile(id));
             // Keys are hashed once they are there.
-            let keyed = |part: Option<Part>, id: Option<TermId>| {
-                part.map_or(0, |p| p.cost + id.map_or(0, |id| bounds::lookup(pool.facts(id).most)))
+            let hashed_cost = |part: Option<CompiledExpr>, id: Option<TermId>| {
+                part.map_or(0, |p| p.cost + id.map_or(0, |id| bounds::lookup_cost(pool.facts(id).max_bytes)))
             };
-            let action = 1 + keyed(subject, read.subject) + keyed(limit_key, read.key);
-            let (holds, whole_class) = classes(&pool, read.when);
-            weights.push(1 + when.cost + if source.order == Order::All { action } else { 0 });
+            let action =
+                1 + hashed_cost(subject, checked_rules.subject) + hashed_cost(limit_key, checked_rules.key);
+            let (possible_classes, whole_class) = classes(&pool, checked_rules.when);
+            rule_costs.push(1 + when.cost + if source.order == Order::All { action } else { 0 });
             action_costs.push(action);
             rules.push(Rule {
                 name: rule.name.clone(),
@@ -204,20 +216,21 @@
                 bound_actions: BoundActions::default(),
                 limit_id: hash(&rule.name) as u64,
                 text: rule.when.clone(),
-                holds,
+                possible_classes,
                 whole_class,
             });
         }
-        let conditions: Vec<TermId> = read.iter().map(|r| r.when).collect();
+        let conditions: Vec<TermId> = checked_rules.iter().map(|r| r.when).collect();
         let names: Vec<&str> = rules.iter().map(|r| r.name.as_str()).collect();
-        let index = Index::build(&pool, &conditions, &weights, &names, &mut compiler);
+        let index = Index::build(&pool, &conditions, &rule_costs, &names, &mut compiler);
         let program = compiler.finish();
-        let segments = if program.segmented { bounds::scan(source.bounds.max_target_bytes) } else { 0 };
+        let segments =
+            if program.uses_segments { bounds::scan_cost(source.bounds.max_target_bytes) } else { 0 };
         let action = match source.order {
             Order::First => action_costs.iter().copied().max().unwrap_or(0),
             Order::All => 0,
         };
-        let cost = BEGIN + segments + index.cost + action;
+        let cost = BASE_COST + segments + index.cost + action;
         let warnings = warnings(&pool, source, &conditions);
         let headers = pool.headers;
         let set = Self {
@@ -230,17 +243,17 @@
             cost,
             warnings,
         };
-        set.within_bounds(&read, &weights, &action_costs).map(|()| set)
+        set.within_bounds(&checked_rules, &rule_costs, &action_costs).map(|()| set)
     }
 
     /// Refuses what is too dear or too large, naming the dearest part.
     fn within_bounds(
         &self,
-        read: &[Read],
-        weights: &[u64],
+        checked_rules: &[CheckedRule],
+        rule_costs: &[u64],
         action_costs: &[u64],
     ) -> Result<(), Vec<RuleFault>> {
-        let whole = |found: String, expected: String| RuleFault {
+        let rule_set_fault = |found: String, expected: String| RuleFault {
             rule: None,
             rule_part: RulePart::Whole,
             at: Span::default(),
@@ -248,14 +261,14 @@
             expected,
         };
         let mut faults = Vec::new();
-        for (n, read) in read.iter().enumerate() {
-            let own = weights[n].max(1 + self.rules[n].when.cost + action_costs[n]);
-            if own > self.bounds.max_steps {
-                let Dear { cost, at, rule_part, text } = &read.dear;
+        for (n, checked_rules) in checked_rules.iter().enumerate() {
+            let rule_cost = rule_costs[n].max(1 + self.rules[n].when.cost + action_costs[n]);
+            if rule_cost > self.bounds.max_steps {
+                let CostliestOperation { cost, at, rule_part, text } = &checked_rules.costliest;
                 let found = format!(
-                    "rule {} of up to {own} steps, the dearest of them {cost} for {}",
+                    "rule {} of up to {rule_cost} steps, the dearest of them {cost} for {}",
                     self.rules[n].name,
-                    shown(text, *at)
+                    excerpt_of(text, *at)
                 );
                 let expected = format!("at most {} steps", self.bounds.max_steps);
                 faults.push(RuleFault { rule: Some(n), rule_part: *rule_part, at: *at, found, expected });
@@ -266,12 +279,12 @@
                 "rules that may cost a request {} steps, the dearest part {}",
                 self.cost, self.index.costliest
             );
-            faults.push(whole(found, format!("at most {} steps", self.bounds.max_steps)));
+            faults.push(rule_set_fault(found, format!("at most {} steps", self.bounds.max_steps)));
         }
         let bytes = self.bytes();
         if bytes > self.bounds.max_bytes {
             let found = format!("a compiled set of {bytes} bytes");
-            faults.push(whole(found, format!("at most {} bytes", self.bounds.max_bytes)));
+            faults.push(rule_set_fault(found, format!("at most {} bytes", self.bounds.max_bytes)));
         }
         if faults.is_empty() {
             Ok(())
@@ -284,7 +297,7 @@
     pub fn bind(&mut self, deployment: &Deployment) -> Result<(), Vec<RuleFault>> {
         let mut faults = Vec::new();
         for (n, rule) in self.rules.iter_mut().enumerate() {
-            match bind(&rule.actions, rule.holds.as_ref(), deployment) {
+            match bind(&rule.actions, rule.possible_classes.as_ref(), deployment) {
                 Ok(bound_actions) => rule.bound_actions = bound_actions,
                 Err(refused) => faults.extend(refused.into_iter().map(|(found, expected)| RuleFault {
                     rule: Some(n),
@@ -296,21 +309,28 @@
             }
         }
         for (n, rule) in self.rules.iter().enumerate() {
-            for class in rule.holds.iter().flatten().filter(|c| !deployment.class_names.contains(c)) {
+            for class in
+                rule.possible_classes.iter().flatten().filter(|c| !deployment.class_names.contains(c))
+            {
                 let text = format!("asks for class {class:?}, which the settings don't name");
                 self.warnings.push(Warning { rule: Some(n), text });
             }
         }
         let refused = |class: &String| {
-            let mut whole = self.rules.iter().filter(|r| r.whole_class);
-            whole.any(|r| r.actions.refuse.is_some() && r.holds.as_ref().is_none_or(|h| h.contains(class)))
+            let mut whole_class_rules = self.rules.iter().filter(|r| r.whole_class);
+            whole_class_rules.any(|r| {
+                r.actions.refuse.is_some() && r.possible_classes.as_ref().is_none_or(|h| h.contains(class))
+            })
         };
-        let out: Vec<&str> =
+        let refused_classes: Vec<&str> =
             deployment.class_names.iter().filter(|c| refused(c)).map(String::as_str).collect();
-        if !out.is_empty() {
-            let all = out.len() == deployment.class_names.len();
-            let what =
-                if all { "every request".to_owned() } else { format!("every request of {}", out.join(", ")) };
+        if !refused_classes.is_empty() {
+            let all = refused_classes.len() == deployment.class_names.len();
+            let what = if all {
+                "every request".to_owned()
+            } else {
+                format!("every request of {}", refused_classes.join(", "))
+            };
             // In "first match" an earlier rule may let some through: that is told apart.
             let unless = match self.order {
                 Order::First => ", unless an earlier rule holds for it",
@@ -369,7 +389,7 @@
     /// Bytes that it takes.
     pub fn bytes(&self) -> usize {
         let rule = |r: &Rule| {
-            let names = r.holds.iter().flatten().map(|n| n.len() + 40).sum::<usize>();
+            let names = r.possible_classes.iter().flatten().map(|n| n.len() + 40).sum::<usize>();
             size_of::<Rule>() + r.name.len() + r.text.len() + names
         };
         self.rules.iter().map(rule).sum::<usize>() + self.program.bytes() + self.index.bytes()
@@ -385,12 +405,13 @@
     pub fn evaluate<const COUNTED: bool>(&self, scratch: &mut Scratch, request: &Request) -> Ruling {
         scratch.limits.clear();
         let Scratch { machine, bits, .. } = scratch;
-        machine.begin(&self.program, request);
+        machine.start_request(&self.program, request);
         if COUNTED {
-            let segments = if self.program.segmented { bounds::scan(request.path().len()) } else { 0 };
-            machine.steps += BEGIN + segments;
+            let segments =
+                if self.program.uses_segments { bounds::scan_cost(request.path().len()) } else { 0 };
+            machine.steps += BASE_COST + segments;
         }
-        self.index.find::<COUNTED>(&self.program, machine, request, bits);
+        self.index.find_candidates::<COUNTED>(&self.program, machine, request, bits);
         let mut ruling = Ruling::default();
         for word in 0..scratch.bits.len() {
             let mut left = scratch.bits[word];
@@ -438,7 +459,7 @@
             match rule.limit_key.map(|part| machine.run::<COUNTED>(&self.program, part, request)) {
                 Some(Ok(Value::Text(slice))) => {
                     if COUNTED {
-                        machine.steps += bounds::lookup(slice.bytes());
+                        machine.steps += bounds::lookup_cost(slice.bytes());
                     }
                     hasher.write(machine.text(&self.program, request, slice).as_bytes());
                 }
@@ -463,7 +484,7 @@
             return None;
         };
         if COUNTED {
-            machine.steps += bounds::lookup(slice.bytes());
+            machine.steps += bounds::lookup_cost(slice.bytes());
         }
         // 0 stands for "no subject".
         Some((hash(machine.text(&self.program, request, slice)) as u64).max(1))
@@ -476,11 +497,11 @@
 
     /// The rules that hold, found by trying each in turn with the syntax tree as it stands.
     pub fn matches_interpreted(&self, trees: &[Expr], request: &Request) -> Vec<usize> {
-        let holds = |tree: &Expr| {
+        let possible_classes = |tree: &Expr| {
             let value = interpreter::value(tree, request, &self.program.regexes, &self.headers);
             value == Some(interpreter::Value::Bool(true))
         };
-        let all = (0..trees.len()).filter(|n| holds(&trees[*n]));
+        let all = (0..trees.len()).filter(|n| possible_classes(&trees[*n]));
         match self.order {
             Order::First => all.take(1).collect(),
             Order::All => all.collect(),
@@ -490,29 +511,29 @@
     /// The rules that hold, by the compiled conditions, tried each in turn without the index: the way that is faster than
     /// the plain one and slower than [`Set::rule`].
     pub fn matches_sequential(&self, scratch: &mut Scratch, request: &Request) -> Vec<usize> {
-        scratch.machine.begin(&self.program, request);
-        let mut out = Vec::new();
+        scratch.machine.start_request(&self.program, request);
+        let mut matching = Vec::new();
         for (n, rule) in self.rules.iter().enumerate() {
             if scratch.machine.run::<false>(&self.program, rule.when, request) == Ok(Value::Bool(true)) {
-                out.push(n);
+                matching.push(n);
                 if self.order == Order::First {
                     break;
                 }
             }
         }
-        out
+        matching
     }
 
     /// The rules that hold, by the index and the compiled conditions.
     pub fn matches_indexed(&self, scratch: &mut Scratch, request: &Request) -> Vec<usize> {
         let Scratch { machine, bits, .. } = scratch;
-        machine.begin(&self.program, request);
-        self.index.find::<false>(&self.program, machine, request, bits);
+        machine.start_request(&self.program, request);
+        self.index.find_candidates::<false>(&self.program, machine, request, bits);
         let all = (0..self.rules.len()).filter(|n| bits[n / 64] >> (n % 64) & 1 == 1);
-        let holds = |n: &usize| {
+        let possible_classes = |n: &usize| {
             machine.run::<false>(&self.program, self.rules[*n].when, request) == Ok(Value::Bool(true))
         };
-        let all = all.filter(holds);
+        let all = all.filter(possible_classes);
         match self.order {
             Order::First => all.take(1).collect(),
             Order::All => all.collect(),
@@ -522,8 +543,8 @@
     /// What each rule came to that the index found, or that `all` of them came to.
     pub fn explain(&self, scratch: &mut Scratch, request: &Request, all: bool) -> Vec<RuleExplanation> {
         let Scratch { machine, bits, .. } = scratch;
-        machine.begin(&self.program, request);
-        self.index.find::<false>(&self.program, machine, request, bits);
+        machine.start_request(&self.program, request);
+        self.index.find_candidates::<false>(&self.program, machine, request, bits);
         let is_candidate = |n: usize| bits[n / 64] >> (n % 64) & 1 == 1;
         let value = |e: &Expr| interpreter::value(e, request, &self.program.regexes, &self.headers);
         let rules = self.rules.iter().enumerate().filter(|(n, _)| all || is_candidate(*n));
@@ -534,13 +555,13 @@
                     Kind::And(parts) | Kind::Or(parts) => parts.as_slice(),
                     _ => std::slice::from_ref(&tree),
                 };
-                let told =
+                let describe =
                     |e: &Expr| (e.to_string(), value(e).map_or("no value".to_owned(), |v| v.to_string()));
                 let matched = match value(&tree) {
                     Some(interpreter::Value::Bool(b)) => Some(b),
                     _ => None,
                 };
-                let parts = parts.iter().map(told).collect();
+                let parts = parts.iter().map(describe).collect();
                 Some(RuleExplanation {
                     name: rule.name.clone(),
                     matched,
@@ -590,24 +611,24 @@
 }
 
 /// A rule that has been read.
-struct Read {
+struct CheckedRule {
     when: TermId,
     subject: Option<TermId>,
     key: Option<TermId>,
-    dear: Dear,
+    costliest: CostliestOperation,
 }
 
 /// The dearest operation of a rule.
 #[derive(Default)]
-struct Dear {
+struct CostliestOperation {
     cost: u64,
     at: Span,
     rule_part: RulePart,
     text: String,
 }
 
-impl Dear {
-    fn note(&mut self, (cost, at): (u64, Span), rule_part: RulePart, text: &str) {
+impl CostliestOperation {
+    fn record(&mut self, (cost, at): (u64, Span), rule_part: RulePart, text: &str) {
         if cost > self.cost {
             (self.cost, self.at, self.rule_part, self.text) = (cost, at, rule_part, text.to_owned());
         }
@@ -615,7 +636,7 @@
 }
 
 /// A piece of a text, cut to a length that fits a line.
-fn shown(text: &str, at: Span) -> String {
+fn excerpt_of(text: &str, at: Span) -> String {
     let excerpt = text.get(at.from..at.to).unwrap_or(text);
     let short: String = excerpt.chars().take(60).collect();
     if short.len() < excerpt.len() {
@@ -626,62 +647,62 @@
 }
 
 /// How many rules use each term; one that a rule uses several times counts as several.
-fn uses(pool: &Pool, read: &[Read]) -> Vec<u32> {
-    let mut uses = vec![0u32; pool.terms()];
-    let roots = read.iter().flat_map(|r| [Some(r.when), r.subject, r.key]).flatten();
+fn term_uses(pool: &Pool, checked_rules: &[CheckedRule]) -> Vec<u32> {
+    let mut term_uses = vec![0u32; pool.terms()];
+    let roots = checked_rules.iter().flat_map(|r| [Some(r.when), r.subject, r.key]).flatten();
     let mut work: Vec<TermId> = roots.collect();
     while let Some(id) = work.pop() {
-        uses[id as usize] = uses[id as usize].saturating_add(1);
+        term_uses[id as usize] = term_uses[id as usize].saturating_add(1);
         // The parts of a term that was met before are counted through it.
-        if uses[id as usize] == 1 {
-            work.extend(pool.parts(id));
+        if term_uses[id as usize] == 1 {
+            work.extend(pool.operands(id));
         }
     }
-    uses
+    term_uses
 }
 
 /// The classes for which a condition can hold, if it names them, and whether it holds for all their requests.
 fn classes(pool: &Pool, condition: TermId) -> (Option<BTreeSet<String>>, bool) {
-    let mut out = BTreeSet::new();
-    let mut whole = true;
-    for alternative in any_of(pool, condition) {
-        let parts = all_of(pool, alternative);
+    let mut classes = BTreeSet::new();
+    let mut whole_class = true;
+    for alternative in disjuncts(pool, condition) {
+        let parts = conjuncts(pool, alternative);
         let named = parts.iter().find_map(|p| {
-            let (of, texts) = texts(pool, *p)?;
+            let (of, texts) = allowed_texts(pool, *p)?;
             matches!(pool.term(of), Term::Field(Field::Class)).then_some(texts)
         });
-        whole &= parts.len() <= usize::from(named.is_some());
+        whole_class &= parts.len() <= usize::from(named.is_some());
         match named {
-            Some(texts) => out.extend(texts.iter().map(|t| t.to_string())),
+            Some(texts) => classes.extend(texts.iter().map(|t| t.to_string())),
             None => return (None, parts.is_empty()),
         }
     }
-    (Some(out), whole)
+    (Some(classes), whole_class)
 }
 
 fn warnings(pool: &Pool, source: &RuleSetSource, conditions: &[TermId]) -> Vec<Warning> {
-    let mut out = Vec::new();
+    let mut warnings = Vec::new();
     let name = |n: usize| &source.rules[n].name;
     for (n, condition) in conditions.iter().enumerate() {
-        if never(pool, *condition) {
-            out.push(Warning { rule: Some(n), text: format!("rule {} can never hold", name(n)) });
+        if is_never_true(pool, *condition) {
+            warnings.push(Warning { rule: Some(n), text: format!("rule {} can never hold", name(n)) });
         }
     }
     if source.order == Order::First {
-        let (covered, complete) = shadowed(pool, conditions);
+        let (covered, complete) = find_shadowed(pool, conditions);
         for (n, by) in covered.into_iter().enumerate() {
             if let Some(by) = by {
                 let text =
                     format!("rule {} is never reached: rule {} holds wherever it does", name(n), name(by));
-                out.push(Warning { rule: Some(n), text });
+                warnings.push(Warning { rule: Some(n), text });
             }
         }
         if !complete {
             let text = "too many like rules: not all were compared for being never reached".to_owned();
-            out.push(Warning { rule: None, text });
+            warnings.push(Warning { rule: None, text });
         }
     }
-    out
+    warnings
 }
 
 impl std::fmt::Debug for RuleSet {
--- a/crates/yarrowspoke-expr/src/syntax.rs
+++ b/crates/yarrowspoke-expr/src/syntax.rs
@@ -57,7 +57,7 @@
     /// `a || b || ...`.
     Or(Vec<Expr>),
     /// `a ? b : c`.
-    Choice(Box<[Expr; 3]>),
+    Conditional(Box<[Expr; 3]>),
 }
 
 /// An operator before its operand.
@@ -100,7 +100,7 @@
 
 impl Binary {
     /// As it is written.
-    pub fn sign(self) -> &'static str {
+    pub fn symbol(self) -> &'static str {
         match self {
             Self::Eq => "==",
             Self::Ne => "!=",
@@ -118,7 +118,7 @@
     }
 
     /// How strongly it binds; a higher figure binds more strongly.
-    pub fn strength(self) -> u8 {
+    pub fn precedence(self) -> u8 {
         match self {
             Self::Eq | Self::Ne | Self::Lt | Self::Le | Self::Gt | Self::Ge | Self::In => 4,
             Self::Add | Self::Sub => 5,
@@ -130,14 +130,14 @@
 impl Kind {
     /// Levels of its deepest part.
     fn height(&self) -> usize {
-        let most = |parts: &[Expr]| parts.iter().map(|p| p.height).max().unwrap_or(0);
+        let max_height = |parts: &[Expr]| parts.iter().map(|p| p.height).max().unwrap_or(0);
         match self {
             Self::Bool(_) | Self::Int(_) | Self::Duration(_) | Self::Text(_) | Self::Name(_) => 0,
-            Self::List(parts) | Self::And(parts) | Self::Or(parts) => most(parts),
-            Self::Call { args, .. } => most(args),
+            Self::List(parts) | Self::And(parts) | Self::Or(parts) => max_height(parts),
+            Self::Call { args, .. } => max_height(args),
             Self::Unary(_, a) => a.height,
             Self::Index(a, b) | Self::Binary(_, a, b) => a.height.max(b.height),
-            Self::Choice(parts) => most(parts.as_slice()),
+            Self::Conditional(parts) => max_height(parts.as_slice()),
         }
     }
 }
@@ -149,12 +149,12 @@
         Self { at, kind, height }
     }
 
-    fn strength(&self) -> u8 {
+    fn precedence(&self) -> u8 {
         match &self.kind {
-            Kind::Choice(_) => 1,
+            Kind::Conditional(_) => 1,
             Kind::Or(_) => 2,
             Kind::And(_) => 3,
-            Kind::Binary(op, ..) => op.strength(),
+            Kind::Binary(op, ..) => op.precedence(),
             Kind::Unary(..) => 7,
             // A negative number is printed with its sign.
             Kind::Int(n) | Kind::Duration(n) if *n < 0 => 7,
@@ -162,78 +162,78 @@
         }
     }
 
-    fn put(&self, f: &mut fmt::Formatter<'_>, least: u8) -> fmt::Result {
-        if self.strength() < least {
+    fn write_expr(&self, f: &mut fmt::Formatter<'_>, min_precedence: u8) -> fmt::Result {
+        if self.precedence() < min_precedence {
             f.write_str("(")?;
-            self.put(f, 0)?;
+            self.write_expr(f, 0)?;
             return f.write_str(")");
         }
-        let list = |f: &mut fmt::Formatter<'_>, parts: &[Expr], sign: &str, least: u8| {
+        let write_list = |f: &mut fmt::Formatter<'_>, parts: &[Expr], sign: &str, min_precedence: u8| {
             for (n, part) in parts.iter().enumerate() {
                 if n > 0 {
                     f.write_str(sign)?;
                 }
-                part.put(f, least)?;
+                part.write_expr(f, min_precedence)?;
             }
             Ok(())
         };
         match &self.kind {
             Kind::Bool(b) => write!(f, "{b}"),
             Kind::Int(n) => write!(f, "{n}"),
-            Kind::Duration(us) => put_duration(f, *us),
-            Kind::Text(t) => put_text(f, t),
+            Kind::Duration(us) => write_duration(f, *us),
+            Kind::Text(t) => write_text(f, t),
             Kind::Name(n) => f.write_str(n),
             Kind::List(parts) => {
                 f.write_str("[")?;
-                list(f, parts, ", ", 0)?;
+                write_list(f, parts, ", ", 0)?;
                 f.write_str("]")
             }
             Kind::Index(of, at) => {
-                of.put(f, 8)?;
+                of.write_expr(f, 8)?;
                 f.write_str("[")?;
-                at.put(f, 0)?;
+                at.write_expr(f, 0)?;
                 f.write_str("]")
             }
             Kind::Call { name, args, method } => {
                 let rest = match args.split_first() {
                     Some((first, rest)) if *method => {
-                        first.put(f, 8)?;
+                        first.write_expr(f, 8)?;
                         f.write_str(".")?;
                         rest
                     }
                     _ => args,
                 };
                 write!(f, "{name}(")?;
-                list(f, rest, ", ", 0)?;
+                write_list(f, rest, ", ", 0)?;
                 f.write_str(")")
             }
             Kind::Unary(op, of) => {
                 f.write_str(if *op == Unary::Not { "!" } else { "-" })?;
                 // Without brackets round a further sign: they would count as a level of nesting more.
-                of.put(f, 7)
+                of.write_expr(f, 7)
             }
             Kind::Binary(op, a, b) => {
-                let s = op.strength();
+                let s = op.precedence();
                 // Comparisons do not chain, and the others group to the left.
-                a.put(f, if s == 4 { s + 1 } else { s })?;
-                write!(f, " {} ", op.sign())?;
-                b.put(f, s + 1)
+                a.write_expr(f, if s == 4 { s + 1 } else { s })?;
+                write!(f, " {} ", op.symbol())?;
+                b.write_expr(f, s + 1)
             }
-            Kind::And(parts) => list(f, parts, " && ", 4),
-            Kind::Or(parts) => list(f, parts, " || ", 3),
-            Kind::Choice(parts) => {
-                parts[0].put(f, 2)?;
+            Kind::And(parts) => write_list(f, parts, " && ", 4),
+            Kind::Or(parts) => write_list(f, parts, " || ", 3),
+            Kind::Conditional(parts) => {
+                parts[0].write_expr(f, 2)?;
                 f.write_str(" ? ")?;
-                parts[1].put(f, 1)?;
+                parts[1].write_expr(f, 1)?;
                 f.write_str(" : ")?;
-                parts[2].put(f, 1)
+                parts[2].write_expr(f, 1)
             }
         }
     }
 }
 
 /// A span of time as the language writes it.
-pub fn put_duration(f: &mut impl fmt::Write, us: i64) -> fmt::Result {
+pub fn write_duration(f: &mut impl fmt::Write, us: i64) -> fmt::Result {
     for (unit, of) in [("h", 3_600_000_000), ("m", 60_000_000), ("s", 1_000_000), ("ms", 1_000)] {
         if us != 0 && us % of == 0 {
             return write!(f, "{}{unit}", us / of);
@@ -243,7 +243,7 @@
 }
 
 /// A string as the language writes it.
-pub fn put_text(f: &mut impl fmt::Write, text: &str) -> fmt::Result {
+pub fn write_text(f: &mut impl fmt::Write, text: &str) -> fmt::Result {
     f.write_char('\'')?;
     for c in text.chars() {
         match c {
@@ -260,7 +260,7 @@
 
 impl fmt::Display for Expr {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.put(f, 0)
+        self.write_expr(f, 0)
     }
 }
 
--- a/crates/yarrowspoke-expr/src/terms.rs
+++ b/crates/yarrowspoke-expr/src/terms.rs
@@ -1,7 +1,7 @@
 //! Typed terms, each kept once however many rules hold it.
 
 use crate::bounds::{self, Bounds, MAX_BUILT_BYTES, MAX_METHOD_BYTES, MAX_NAME_BYTES};
-use crate::syntax::{put_duration, put_text};
+use crate::syntax::{write_duration, write_text};
 use std::collections::HashMap;
 use std::fmt;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 
 /// Types of optional values and of list entries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Basic {
+pub enum ScalarType {
     /// A whole number.
     Int,
     /// A span of time.
@@ -26,21 +26,21 @@
     /// `true` or `false`.
     Bool,
     /// A value that is there.
-    Plain(Basic),
+    Present(ScalarType),
     /// A value that may not be there.
-    Maybe(Basic),
+    Optional(ScalarType),
     /// The path's segments: a list of strings.
     Segments,
 }
 
 /// The type of strings.
-pub const TEXT: Type = Type::Plain(Basic::Text);
+pub const TEXT: Type = Type::Present(ScalarType::Text);
 /// The type of whole numbers.
-pub const INT: Type = Type::Plain(Basic::Int);
+pub const INT: Type = Type::Present(ScalarType::Int);
 /// The type of spans of time.
-pub const DURATION: Type = Type::Plain(Basic::Duration);
+pub const DURATION: Type = Type::Present(ScalarType::Duration);
 
-impl fmt::Display for Basic {
+impl fmt::Display for ScalarType {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Int => "int",
@@ -54,8 +54,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Bool => f.write_str("bool"),
-            Self::Plain(b) => write!(f, "{b}"),
-            Self::Maybe(b) => write!(f, "optional {b}"),
+            Self::Present(b) => write!(f, "{b}"),
+            Self::Optional(b) => write!(f, "optional {b}"),
             Self::Segments => f.write_str("list of string"),
         }
     }
@@ -93,9 +93,9 @@
     ("target", Field::Target, TEXT),
     ("class", Field::Class, TEXT),
     ("tenant", Field::Tenant, TEXT),
-    ("key", Field::Key, Type::Maybe(Basic::Text)),
+    ("key", Field::Key, Type::Optional(ScalarType::Text)),
     ("budget", Field::Budget, DURATION),
-    ("hint", Field::Hint, Type::Maybe(Basic::Duration)),
+    ("hint", Field::Hint, Type::Optional(ScalarType::Duration)),
     ("repeat", Field::Repeat, Type::Bool),
     ("length", Field::Length, INT),
 ];
@@ -111,7 +111,7 @@
 
 /// An operator between numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Math {
+pub enum ArithmeticOp {
     /// `+`
     Add,
     /// `-`
@@ -124,9 +124,9 @@
     Rem,
 }
 
-impl Math {
+impl ArithmeticOp {
     /// The result, if there is one: none on overflow and on division by zero.
-    pub fn of(self, a: i64, b: i64) -> Option<i64> {
+    pub fn apply(self, a: i64, b: i64) -> Option<i64> {
         match self {
             Self::Add => a.checked_add(b),
             Self::Sub => a.checked_sub(b),
@@ -139,13 +139,13 @@
 
 /// A test of one text by another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Affix {
+pub enum TextTest {
     /// `startsWith`
-    Starts,
+    StartsWith,
     /// `endsWith`
-    Ends,
+    EndsWith,
     /// `contains`
-    Holds,
+    Contains,
 }
 
 /// A typed term. Operands are of the types that the checker saw to.
@@ -154,7 +154,7 @@
     /// A constant.
     Bool(bool),
     /// A number, or microseconds.
-    Int(i64, Basic),
+    Int(i64, ScalarType),
     /// A string.
     Text(Arc<str>),
     /// A field.
@@ -180,13 +180,13 @@
     /// One holds.
     Or(Vec<TermId>),
     /// `a ? b : c`
-    Choice(TermId, TermId, TermId),
+    Conditional(TermId, TermId, TermId),
     /// Arithmetic.
-    Math(Math, TermId, TermId),
+    Arithmetic(ArithmeticOp, TermId, TermId),
     /// Strings joined.
     Concat(Vec<TermId>),
     /// A test of one text by another.
-    Affix(Affix, TermId, TermId),
+    TextTest(TextTest, TermId, TermId),
     /// A regular expression matches somewhere.
     Matches(TermId, u32),
     /// Bytes of a text.
@@ -204,7 +204,7 @@
     /// A text read as a number.
     ToInt(TermId),
     /// A text with its ASCII letters in lower case.
-    Lower(TermId),
+    LowerAscii(TermId),
 }
 
 /// What the pool knows of a term.
@@ -213,13 +213,13 @@
     /// Its type.
     pub ty: Type,
     /// Most bytes of a text.
-    pub most: usize,
+    pub max_bytes: usize,
     /// Most steps of its own operation.
-    pub own: u64,
+    pub own_cost: u64,
     /// Most steps of it with all its parts.
-    pub whole: u64,
+    pub total_cost: u64,
     /// Bytes that it may build, with all its parts.
-    pub builds: usize,
+    pub built_bytes: usize,
 }
 
 /// All terms of a set.
@@ -259,7 +259,7 @@
         if let Some(id) = self.ids.get(&term) {
             return *id;
         }
-        let facts = self.learn(&term);
+        let facts = self.compute_facts(&term);
         let id = self.terms.len() as TermId;
         self.ids.insert(term.clone(), id);
         self.terms.push(term);
@@ -268,104 +268,121 @@
     }
 
     /// Terms of which this one is made.
-    pub fn parts(&self, id: TermId) -> Vec<TermId> {
-        parts_of(self.term(id))
+    pub fn operands(&self, id: TermId) -> Vec<TermId> {
+        operands_of(self.term(id))
     }
 
     /// A term's type, sizes and prices, from those of its parts.
-    fn learn(&self, term: &Term) -> Facts {
-        let f = |id: &TermId| &self.facts[*id as usize];
-        let most = |id: &TermId| f(id).most;
-        let Bounds { max_target_bytes: target, max_header_bytes: header, .. } = self.bounds;
-        let (ty, bytes, own, builds) = match term {
+    fn compute_facts(&self, term: &Term) -> Facts {
+        let facts_of = |id: &TermId| &self.facts[*id as usize];
+        let max_bytes = |id: &TermId| facts_of(id).max_bytes;
+        let Bounds { max_target_bytes, max_header_bytes, .. } = self.bounds;
+        let (ty, bytes, own_cost, built_bytes) = match term {
             Term::Bool(_) => (Type::Bool, 0, 1, 0),
-            Term::Int(_, basic) => (Type::Plain(*basic), 0, 1, 0),
+            Term::Int(_, scalar) => (Type::Present(*scalar), 0, 1, 0),
             Term::Text(t) => (TEXT, t.len(), 1, 0),
             Term::Field(field) => {
                 let ty = FIELDS.iter().find(|x| x.1 == *field).map_or(TEXT, |x| x.2);
                 let bytes = match field {
                     Field::Method => MAX_METHOD_BYTES,
-                    Field::Path | Field::Target | Field::Key => target,
+                    Field::Path | Field::Target | Field::Key => max_target_bytes,
                     Field::Class | Field::Tenant => MAX_NAME_BYTES,
                     _ => 0,
                 };
-                (ty, bytes, if *field == Field::Key { bounds::scan(target) } else { 1 }, 0)
+                (ty, bytes, if *field == Field::Key { bounds::scan_cost(max_target_bytes) } else { 1 }, 0)
             }
-            Term::Header(_) => (Type::Maybe(Basic::Text), header, 1, 0),
-            Term::Query(_) => (Type::Maybe(Basic::Text), target, bounds::scan(target), 0),
-            Term::Segment(_) => (Type::Maybe(Basic::Text), target, 1, 0),
+            Term::Header(_) => (Type::Optional(ScalarType::Text), max_header_bytes, 1, 0),
+            Term::Query(_) => {
+                (Type::Optional(ScalarType::Text), max_target_bytes, bounds::scan_cost(max_target_bytes), 0)
+            }
+            Term::Segment(_) => (Type::Optional(ScalarType::Text), max_target_bytes, 1, 0),
             Term::SegmentCount => (INT, 0, 1, 0),
-            Term::Eq(a, b) => (Type::Bool, 0, bounds::compare(most(a), most(b)), 0),
-            Term::Less(a, b) | Term::LessEq(a, b) => (Type::Bool, 0, bounds::compare(most(a), most(b)), 0),
+            Term::Eq(a, b) => (Type::Bool, 0, bounds::compare_cost(max_bytes(a), max_bytes(b)), 0),
+            Term::Less(a, b) | Term::LessEq(a, b) => {
+                (Type::Bool, 0, bounds::compare_cost(max_bytes(a), max_bytes(b)), 0)
+            }
             Term::Not(_) => (Type::Bool, 0, 1, 0),
             // One jump behind each part but the last.
             Term::And(parts) | Term::Or(parts) => (Type::Bool, 0, parts.len() as u64 - 1, 0),
-            Term::Choice(_, b, c) => (f(b).ty, most(b).max(most(c)), 2, 0),
-            Term::Math(_, a, _) => (f(a).ty, 0, 1, 0),
+            Term::Conditional(_, b, c) => (facts_of(b).ty, max_bytes(b).max(max_bytes(c)), 2, 0),
+            Term::Arithmetic(_, a, _) => (facts_of(a).ty, 0, 1, 0),
             Term::Concat(parts) => {
-                let bytes = parts.iter().map(most).sum();
-                (TEXT, bytes, parts.len() as u64 + bounds::chunks(bytes), bytes)
+                let bytes = parts.iter().map(max_bytes).sum();
+                (TEXT, bytes, parts.len() as u64 + bounds::copy_cost(bytes), bytes)
             }
-            Term::Affix(Affix::Holds, a, b) => (Type::Bool, 0, bounds::scan(most(a) + most(b)), 0),
-            Term::Affix(_, a, b) => (Type::Bool, 0, bounds::compare(most(a), most(b)), 0),
-            Term::Matches(a, _) => (Type::Bool, 0, bounds::scan(most(a)), 0),
+            Term::TextTest(TextTest::Contains, a, b) => {
+                (Type::Bool, 0, bounds::scan_cost(max_bytes(a) + max_bytes(b)), 0)
+            }
+            Term::TextTest(_, a, b) => (Type::Bool, 0, bounds::compare_cost(max_bytes(a), max_bytes(b)), 0),
+            Term::Matches(a, _) => (Type::Bool, 0, bounds::scan_cost(max_bytes(a)), 0),
             Term::Size(_) => (INT, 0, 1, 0),
             Term::OneOf(a, all) => {
                 let longest = all.iter().map(|c| if let Const::Text(t) = c { t.len() } else { 0 });
                 let longest = longest.max().unwrap_or(0);
-                (Type::Bool, 0, bounds::search(all.len(), longest, most(a)), 0)
+                (Type::Bool, 0, bounds::search_cost(all.len(), longest, max_bytes(a)), 0)
+            }
+            Term::InSegments(a) => {
+                (Type::Bool, 0, 2 * bounds::scan_cost(max_target_bytes) + bounds::copy_cost(max_bytes(a)), 0)
             }
-            Term::InSegments(a) => (Type::Bool, 0, 2 * bounds::scan(target) + bounds::chunks(most(a)), 0),
             Term::Has(_) => (Type::Bool, 0, 1, 0),
             // Two jumps round the value that stands in.
             Term::OrValue(a, b) => {
-                let ty = if let Type::Maybe(basic) = f(a).ty { Type::Plain(basic) } else { f(a).ty };
-                (ty, most(a).max(most(b)), 1, 0)
+                let ty = if let Type::Optional(scalar) = facts_of(a).ty {
+                    Type::Present(scalar)
+                } else {
+                    facts_of(a).ty
+                };
+                (ty, max_bytes(a).max(max_bytes(b)), 1, 0)
+            }
+            Term::Hash(a) => (INT, 0, bounds::lookup_cost(max_bytes(a)), 0),
+            Term::ToInt(_) => {
+                (Type::Optional(ScalarType::Int), 0, bounds::scan_cost(bounds::MAX_INT_BYTES), 0)
             }
-            Term::Hash(a) => (INT, 0, bounds::lookup(most(a)), 0),
-            Term::ToInt(_) => (Type::Maybe(Basic::Int), 0, bounds::scan(bounds::MAX_INT_BYTES), 0),
-            Term::Lower(a) => (TEXT, most(a), bounds::scan(most(a)), most(a)),
+            Term::LowerAscii(a) => (TEXT, max_bytes(a), bounds::scan_cost(max_bytes(a)), max_bytes(a)),
         };
-        let parts = parts_of(term);
-        let whole = own + parts.iter().map(|p| f(p).whole).sum::<u64>();
-        let builds = builds + parts.iter().map(|p| f(p).builds).sum::<usize>();
-        Facts { ty, most: bytes, own, whole, builds }
+        let parts = operands_of(term);
+        let total_cost = own_cost + parts.iter().map(|p| facts_of(p).total_cost).sum::<u64>();
+        let built_bytes = built_bytes + parts.iter().map(|p| facts_of(p).built_bytes).sum::<usize>();
+        Facts { ty, max_bytes: bytes, own_cost, total_cost, built_bytes }
     }
 
     /// Whether a built text stays within its bound.
-    pub fn fits(&self, id: TermId) -> bool {
-        self.facts(id).builds <= MAX_BUILT_BYTES
+    pub fn built_text_fits(&self, id: TermId) -> bool {
+        self.facts(id).built_bytes <= MAX_BUILT_BYTES
     }
 
     /// A term as the language would write it, as far as it has a text of its own.
-    pub fn put(&self, id: TermId) -> String {
+    pub fn describe(&self, id: TermId) -> String {
         let mut out = String::new();
         let _ = match self.term(id) {
             Term::Bool(b) => fmt::Write::write_fmt(&mut out, format_args!("{b}")),
-            Term::Int(n, Basic::Duration) => put_duration(&mut out, *n),
+            Term::Int(n, ScalarType::Duration) => write_duration(&mut out, *n),
             Term::Int(n, _) => fmt::Write::write_fmt(&mut out, format_args!("{n}")),
-            Term::Text(t) => put_text(&mut out, t),
+            Term::Text(t) => write_text(&mut out, t),
             Term::Field(field) => {
                 out += FIELDS.iter().find(|x| x.1 == *field).map_or("", |x| x.0);
                 Ok(())
             }
             Term::Header(n) => {
                 out += "headers[";
-                let put = put_text(&mut out, &self.headers[usize::from(*n)]);
+                let put = write_text(&mut out, &self.headers[usize::from(*n)]);
                 out += "]";
                 put
             }
             Term::Query(name) => {
                 out += "query[";
-                let put = put_text(&mut out, name);
+                let put = write_text(&mut out, name);
                 out += "]";
                 put
             }
             Term::Segment(n) => fmt::Write::write_fmt(&mut out, format_args!("segments[{n}]")),
-            Term::OrValue(a, b) => {
-                fmt::Write::write_fmt(&mut out, format_args!("{}.orValue({})", self.put(*a), self.put(*b)))
+            Term::OrValue(a, b) => fmt::Write::write_fmt(
+                &mut out,
+                format_args!("{}.orValue({})", self.describe(*a), self.describe(*b)),
+            ),
+            Term::LowerAscii(a) => {
+                fmt::Write::write_fmt(&mut out, format_args!("{}.lowerAscii()", self.describe(*a)))
             }
-            Term::Lower(a) => fmt::Write::write_fmt(&mut out, format_args!("{}.lowerAscii()", self.put(*a))),
             _ => fmt::Write::write_fmt(&mut out, format_args!("a value made of several parts")),
         };
         out
@@ -373,15 +390,15 @@
 }
 
 /// Terms of which one is made.
-fn parts_of(term: &Term) -> Vec<TermId> {
+fn operands_of(term: &Term) -> Vec<TermId> {
     match term {
         Term::Bool(_) | Term::Int(..) | Term::Text(_) | Term::Field(_) => vec![],
         Term::Header(_) | Term::Query(_) | Term::Segment(_) | Term::SegmentCount => vec![],
         Term::Eq(a, b) | Term::Less(a, b) | Term::LessEq(a, b) => vec![*a, *b],
-        Term::Math(_, a, b) | Term::Affix(_, a, b) | Term::OrValue(a, b) => vec![*a, *b],
+        Term::Arithmetic(_, a, b) | Term::TextTest(_, a, b) | Term::OrValue(a, b) => vec![*a, *b],
         Term::And(parts) | Term::Or(parts) | Term::Concat(parts) => parts.clone(),
-        Term::Choice(a, b, c) => vec![*a, *b, *c],
+        Term::Conditional(a, b, c) => vec![*a, *b, *c],
         Term::Not(a) | Term::Matches(a, _) | Term::Size(a) | Term::OneOf(a, _) => vec![*a],
-        Term::InSegments(a) | Term::Has(a) | Term::Hash(a) | Term::ToInt(a) | Term::Lower(a) => vec![*a],
+        Term::InSegments(a) | Term::Has(a) | Term::Hash(a) | Term::ToInt(a) | Term::LowerAscii(a) => vec![*a],
     }
 }
--- a/crates/yarrowspoke-expr/tests/sets.rs
+++ b/crates/yarrowspoke-expr/tests/sets.rs
@@ -9,13 +9,13 @@
 use yarrowspoke_expr::ruling::{Deployment, LimitSource, RuleActions};
 use yarrowspoke_expr::set::{Order, RuleSet, RuleSetSource, RuleSource, Scratch};
 
-fn class(effect: Idempotency, scope: DedupScope) -> Class {
+fn class(idempotency: Idempotency, dedup_scope: DedupScope) -> Class {
     Class {
         latency_target: 1,
         deadline: 2,
         latency_target_per_work: 0.0,
-        idempotency: effect,
-        dedup_scope: scope,
+        idempotency,
+        dedup_scope,
         dedup_window: 5,
         late_worth: 0.0,
         worth: 1.0,
