--- a/crates/yarrowspoke-expr/src/check.rs
+++ b/crates/yarrowspoke-expr/src/check.rs
@@ -1,4 +1,5 @@
-//! From the syntax tree to typed terms; what has no type, or no bound, is refused.
+//! Type checker: turns syntax trees into typed terms and rejects expressions that are ill-typed or whose size has no
+//! bound.
 
 use crate::bounds::{MAX_BUILT_BYTES, MAX_SEGMENTS};
 use crate::regexes::Regexes;
@@ -8,7 +9,7 @@
 };
 use std::sync::Arc;
 
-/// Functions, as they are called, with what they take and give.
+/// Names of the functions and operators with their signatures.
 pub const FUNCTIONS: [(&str, &str); 12] = [
     ("startsWith", "string.startsWith(string) -> bool"),
     ("endsWith", "string.endsWith(string) -> bool"),
@@ -24,18 +25,18 @@
     ("?:", "bool ? value : value -> value"),
 ];
 
-/// Checks one expression against the pool of its set.
+/// Type checker of expressions, which adds their terms to the pool of the set.
 pub struct Checker<'a> {
-    /// Where terms go.
+    /// Pool that terms are added to.
     pub pool: &'a mut Pool,
-    /// Where regular expressions go.
+    /// Regular expressions of the set.
     pub regexes: &'a mut Regexes,
-    /// The dearest operation met, and where it stands.
+    /// Cost of the most expensive operation checked so far, and its position.
     pub costliest: (u64, Span),
 }
 
 impl Checker<'_> {
-    /// The term of an expression that must be of type `expected`.
+    /// Returns the term of a whole expression, which must be of type `expected`.
     pub fn check_root(&mut self, expr: &Expr, expected: Type) -> Result<TermId, Fault> {
         let id = self.check(expr, expected)?;
         if !self.pool.built_text_fits(id) {
@@ -50,7 +51,7 @@
         self.pool.facts(id).ty
     }
 
-    /// Adds a term that `expr` stands for.
+    /// Adds the term of `expr`.
     fn add(&mut self, expr: &Expr, term: Term) -> TermId {
         let id = self.pool.add(term);
         let own = self.pool.facts(id).own_cost;
@@ -118,7 +119,7 @@
                         _ => flat.push(id),
                     }
                 }
-                // The same test twice is one; the order of the first ones stays.
+                // Removes duplicate tests and keeps the order of the first ones.
                 let mut seen = std::collections::HashSet::new();
                 flat.retain(|id| seen.insert(*id));
                 match (flat.len(), and) {
@@ -269,7 +270,7 @@
                     return Err(Fault::new(a.at, format_args!("{a}, of type {ty}"), expected));
                 };
                 let right = self.check(b, ty)?;
-                // A constant stands on the right, so that both ways of writing it are one term.
+                // A constant is moved to the right, so that both orders give the same term.
                 let constant =
                     |id: TermId| matches!(self.pool.term(id), Term::Bool(_) | Term::Int(..) | Term::Text(_));
                 let (x, y) = if constant(left) && !constant(right) { (right, left) } else { (left, right) };
@@ -308,7 +309,8 @@
             }
             Binary::Add | Binary::Sub | Binary::Mul | Binary::Div | Binary::Rem => {
                 let scalar = self.number(a, left)?;
-                // A span of time may be multiplied or divided by a number; all else is of one type.
+                // A duration may be multiplied or divided by a number; all other operators take operands of the same
+                // type.
                 let scaled = scalar == ScalarType::Duration && matches!(op, Binary::Mul | Binary::Div);
                 let right = self.check(b, if scaled { INT } else { ty })?;
                 let operator = match op {
@@ -364,7 +366,7 @@
     }
 }
 
-/// Whether a header may have this name.
+/// Returns whether `name` is a valid header name (an HTTP token).
 fn is_token(name: &str) -> bool {
     let token = |b: u8| b.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&b);
     !name.is_empty() && name.len() <= 128 && name.bytes().all(token)
--- a/crates/yarrowspoke-expr/src/lex.rs
+++ b/crates/yarrowspoke-expr/src/lex.rs
@@ -1,4 +1,4 @@
-//! From text to tokens.
+//! Lexer: splits the text of an expression into tokens.
 
 use crate::syntax::{Fault, Span};
 use winnow::ascii::digit1;
@@ -11,43 +11,43 @@
 type Input<'a> = LocatingSlice<&'a str>;
 type LexResult<T> = Result<T, EmptyError>;
 
-/// One token.
+/// Token of the language.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Token {
-    /// A whole number.
+    /// Integer.
     Int(i64),
-    /// A span of time in microseconds.
+    /// Duration in microseconds.
     Duration(i64),
-    /// A string.
+    /// String.
     Text(String),
-    /// A word.
+    /// Name or keyword.
     Word(String),
-    /// Signs.
+    /// Operator or punctuation.
     Symbol(&'static str),
-    /// A number too large for 64 bits.
+    /// Number too large for 64 bits.
     TooLarge,
 }
 
-/// A token and where it stands.
+/// Token with its position.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Spanned {
     /// The token.
     pub token: Token,
-    /// Where it stands.
+    /// Position in the text.
     pub at: Span,
 }
 
-/// Signs, the longer ones first.
+/// Operators and punctuation. Longer ones come first, so that the longest match is taken.
 const SYMBOLS: [&str; 22] = [
     "&&", "||", "==", "!=", "<=", ">=", "<", ">", "!", "+", "-", "*", "/", "%", "(", ")", "[", "]", ",", ".",
     "?", ":",
 ];
 
-/// Units of time, the longer ones first.
+/// Units of time in microseconds. Longer ones come first.
 const UNITS: [(&str, i64); 5] =
     [("ms", 1_000), ("us", 1), ("s", 1_000_000), ("m", 60_000_000), ("h", 3_600_000_000)];
 
-/// Takes a text apart.
+/// Splits a text into tokens.
 pub fn tokens(text: &str) -> Result<Vec<Spanned>, Fault> {
     let mut input = LocatingSlice::new(text);
     let mut out = Vec::new();
--- a/crates/yarrowspoke-expr/src/parse.rs
+++ b/crates/yarrowspoke-expr/src/parse.rs
@@ -1,8 +1,8 @@
-//! From tokens to the syntax tree.
+//! Parser: builds the syntax tree from tokens.
 //!
-//! Danger: whoever writes the text chooses how deep it nests. Each level takes one of [`DEPTH_MOST`], so that neither
-//! this reader nor anything that later walks the tree can exhaust the stack; chains of one operator are flat lists
-//! or count as levels too.
+//! The author of an expression controls how deep it nests. Depth is limited to [`MAX_DEPTH`] levels, so that neither
+//! the parser nor anything that walks the tree later can overflow the stack. Chains of one operator are flat lists or
+//! count towards the depth too.
 
 use crate::lex::{tokens, Spanned, Token};
 use crate::syntax::{Binary, Expr, Fault, Kind, Span, Unary};
@@ -12,11 +12,11 @@
 use winnow::token::any;
 use winnow::Parser;
 
-/// Most bytes of an expression.
+/// Maximum length of an expression in bytes.
 pub const MAX_EXPRESSION_BYTES: usize = 8 * 1024;
-/// Most levels of nesting.
+/// Maximum number of nested levels.
 pub const MAX_DEPTH: usize = 48;
-/// Most nodes of a syntax tree.
+/// Maximum number of nodes of a syntax tree.
 pub const MAX_NODES: usize = 2_048;
 
 type Tokens<'a> = TokenSlice<'a, Spanned>;
@@ -28,7 +28,7 @@
     nodes: usize,
 }
 
-/// Reads an expression.
+/// Parses an expression.
 pub fn parse(text: &str) -> Result<Expr, Fault> {
     if text.len() > MAX_EXPRESSION_BYTES {
         let at = Span { from: MAX_EXPRESSION_BYTES, to: text.len() };
@@ -58,7 +58,7 @@
         next.ok()
     }
 
-    /// Takes a sign if it comes next.
+    /// Consumes the next token if it is `symbol`.
     fn accept(&mut self, symbol: &str) -> bool {
         let is = matches!(self.peek(), Some(Spanned { token: Token::Symbol(s), .. }) if *s == symbol);
         if is {
@@ -106,7 +106,7 @@
         Ok(expr)
     }
 
-    /// Goes one level down for as long as `read` runs.
+    /// Runs `read` one level deeper.
     fn nested<T>(&mut self, read: impl FnOnce(&mut Self) -> Result<T, Fault>) -> Result<T, Fault> {
         self.depth += 1;
         if self.depth > MAX_DEPTH {
@@ -194,7 +194,7 @@
         Some(op)
     }
 
-    /// Sums (5) and products (6), grouped to the left.
+    /// Parses left-associative operators: sums at precedence 5, products at 6.
     fn left_associative(&mut self, precedence: u8) -> Result<Expr, Fault> {
         let read =
             |r: &mut Self| if precedence == 6 { r.unary() } else { r.left_associative(precedence + 1) };
@@ -253,7 +253,7 @@
         }
     }
 
-    /// What stands between brackets, and the place behind the closing one.
+    /// Parses a comma-separated list and its closing bracket. Returns the elements and the position after the bracket.
     fn delimited_list(&mut self, close: &'static str) -> Result<(Vec<Expr>, usize), Fault> {
         let mut parts = Vec::new();
         let at = self.next_span();
--- a/crates/yarrowspoke-expr/src/syntax.rs
+++ b/crates/yarrowspoke-expr/src/syntax.rs
@@ -1,56 +1,56 @@
-//! The syntax tree, with the place of every node, and its printing.
+//! Syntax tree with source positions, and its formatting.
 
 use std::fmt;
 
-/// Bytes of the text from which a node was read.
+/// Range of bytes in the source text.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Span {
     /// First byte.
     pub from: usize,
-    /// Byte behind the last one.
+    /// End of the range (exclusive).
     pub to: usize,
 }
 
-/// A node and where it stands.
+/// Node of the syntax tree.
 #[derive(Clone, Debug)]
 pub struct Expr {
-    /// Where it stands.
+    /// Position in the source text.
     pub at: Span,
-    /// What it is.
+    /// Kind of node with its operands.
     pub kind: Kind,
-    /// Levels from it down to its deepest part, itself included.
+    /// Height of the subtree, this node included.
     pub(crate) height: usize,
 }
 
-/// What a node is.
+/// Kind of a node.
 #[derive(Clone, Debug)]
 pub enum Kind {
     /// `true` or `false`.
     Bool(bool),
-    /// A whole number of 64 bits.
+    /// 64-bit integer.
     Int(i64),
-    /// A span of time in microseconds: `250ms`, `2s`, `1m`, `1h`.
+    /// Duration in microseconds: `250ms`, `2s`, `1m`, `1h`.
     Duration(i64),
-    /// A string.
+    /// String.
     Text(String),
     /// `[a, b]`.
     List(Vec<Expr>),
-    /// A field of the request.
+    /// Field of the request.
     Name(String),
     /// `a[b]`.
     Index(Box<Expr>, Box<Expr>),
-    /// `a.f(b)` or `f(a, b)`: the same call, as written in the first or the second way.
+    /// `a.f(b)` or `f(a, b)`: both notations are the same call.
     Call {
-        /// The function.
+        /// Name of the function.
         name: String,
-        /// Its arguments; the receiver first.
+        /// Arguments; the receiver comes first.
         args: Vec<Expr>,
-        /// Written as `a.f(b)`.
+        /// Whether the call was written as `a.f(b)`.
         method: bool,
     },
     /// `!a` or `-a`.
     Unary(Unary, Box<Expr>),
-    /// `a + b` and the like.
+    /// Binary operator, for example `a + b`.
     Binary(Binary, Box<Expr>, Box<Expr>),
     /// `a && b && ...`.
     And(Vec<Expr>),
@@ -60,7 +60,7 @@
     Conditional(Box<[Expr; 3]>),
 }
 
-/// An operator before its operand.
+/// Unary operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unary {
     /// `!`
@@ -69,7 +69,7 @@
     Neg,
 }
 
-/// An operator between two operands.
+/// Binary operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Binary {
     /// `==`
@@ -99,7 +99,7 @@
 }
 
 impl Binary {
-    /// As it is written.
+    /// Returns the operator as written in the source.
     pub fn symbol(self) -> &'static str {
         match self {
             Self::Eq => "==",
@@ -117,7 +117,7 @@
         }
     }
 
-    /// How strongly it binds; a higher figure binds more strongly.
+    /// Returns the precedence; higher values bind more tightly.
     pub fn precedence(self) -> u8 {
         match self {
             Self::Eq | Self::Ne | Self::Lt | Self::Le | Self::Gt | Self::Ge | Self::In => 4,
@@ -128,7 +128,7 @@
 }
 
 impl Kind {
-    /// Levels of its deepest part.
+    /// Returns the height of the highest operand.
     fn height(&self) -> usize {
         let max_height = |parts: &[Expr]| parts.iter().map(|p| p.height).max().unwrap_or(0);
         match self {
@@ -143,7 +143,7 @@
 }
 
 impl Expr {
-    /// A node.
+    /// Creates a node.
     pub fn new(at: Span, kind: Kind) -> Self {
         let height = kind.height() + 1;
         Self { at, kind, height }
@@ -209,12 +209,12 @@
             }
             Kind::Unary(op, of) => {
                 f.write_str(if *op == Unary::Not { "!" } else { "-" })?;
-                // Without brackets round a further sign: they would count as a level of nesting more.
+                // The operand gets no parentheses around another sign, because they would add a level of nesting.
                 of.write_expr(f, 7)
             }
             Kind::Binary(op, a, b) => {
                 let s = op.precedence();
-                // Comparisons do not chain, and the others group to the left.
+                // Comparisons do not chain; the other operators are left-associative.
                 a.write_expr(f, if s == 4 { s + 1 } else { s })?;
                 write!(f, " {} ", op.symbol())?;
                 b.write_expr(f, s + 1)
@@ -232,7 +232,7 @@
     }
 }
 
-/// A span of time as the language writes it.
+/// Writes a duration in the notation of the language.
 pub fn write_duration(f: &mut impl fmt::Write, us: i64) -> fmt::Result {
     for (unit, of) in [("h", 3_600_000_000), ("m", 60_000_000), ("s", 1_000_000), ("ms", 1_000)] {
         if us != 0 && us % of == 0 {
@@ -242,7 +242,7 @@
     write!(f, "{us}us")
 }
 
-/// A string as the language writes it.
+/// Writes a string literal of the language.
 pub fn write_text(f: &mut impl fmt::Write, text: &str) -> fmt::Result {
     f.write_char('\'')?;
     for c in text.chars() {
@@ -264,19 +264,19 @@
     }
 }
 
-/// Why an expression cannot be used.
+/// Error in an expression.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Where.
+    /// Position in the source text.
     pub at: Span,
-    /// What stands there.
+    /// What was found.
     pub found: String,
     /// What was expected.
     pub expected: String,
 }
 
 impl Fault {
-    /// A fault of what stands at `at`.
+    /// Creates a fault at position `at`.
     pub fn new(at: Span, found: impl fmt::Display, expected: impl fmt::Display) -> Self {
         Self { at, found: found.to_string(), expected: expected.to_string() }
     }
--- a/crates/yarrowspoke-expr/src/terms.rs
+++ b/crates/yarrowspoke-expr/src/terms.rs
@@ -1,4 +1,4 @@
-//! Typed terms, each kept once however many rules hold it.
+//! Typed terms, interned so that a term shared by several rules is stored once.
 
 use crate::bounds::{self, Bounds, MAX_BUILT_BYTES, MAX_METHOD_BYTES, MAX_NAME_BYTES};
 use crate::syntax::{write_duration, write_text};
@@ -6,38 +6,38 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A term's number in its pool.
+/// Index of a term in its pool.
 pub type TermId = u32;
 
-/// Types of optional values and of list entries.
+/// Types of scalar values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ScalarType {
-    /// A whole number.
+    /// Integer.
     Int,
-    /// A span of time.
+    /// Duration.
     Duration,
-    /// A string.
+    /// String.
     Text,
 }
 
-/// Types of values.
+/// Types of expressions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Type {
     /// `true` or `false`.
     Bool,
-    /// A value that is there.
+    /// Value that is always present.
     Present(ScalarType),
-    /// A value that may not be there.
+    /// Value that may be absent.
     Optional(ScalarType),
-    /// The path's segments: a list of strings.
+    /// Path segments: a list of strings.
     Segments,
 }
 
-/// The type of strings.
+/// Type of strings.
 pub const TEXT: Type = Type::Present(ScalarType::Text);
-/// The type of whole numbers.
+/// Type of integers.
 pub const INT: Type = Type::Present(ScalarType::Int);
-/// The type of spans of time.
+/// Type of durations.
 pub const DURATION: Type = Type::Present(ScalarType::Duration);
 
 impl fmt::Display for ScalarType {
@@ -61,28 +61,28 @@
     }
 }
 
-/// A field of a request.
+/// Field of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Field {
-    /// The method.
+    /// Method.
     Method,
-    /// The target up to its `?`.
+    /// Target up to its `?`.
     Path,
     /// Path and query.
     Target,
-    /// The class.
+    /// Name of the class.
     Class,
-    /// The tenant, empty if none that the settings name.
+    /// Name of the tenant; empty if the settings do not name it.
     Tenant,
-    /// The subject: the query parameter `key`.
+    /// Subject: the query parameter `key`.
     Key,
-    /// How long the client waits.
+    /// Time that the client waits for the response.
     Budget,
-    /// The client's guess at the work.
+    /// Estimate of the work by the client.
     Hint,
-    /// Marked as a repeat.
+    /// Whether the client marked the request as a retry.
     Repeat,
-    /// Bytes of the body.
+    /// Length of the body in bytes.
     Length,
 }
 
@@ -100,16 +100,16 @@
     ("length", Field::Length, INT),
 ];
 
-/// A constant in a list.
+/// Constant in a list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Const {
-    /// A whole number, or a span of time in microseconds.
+    /// Integer, or duration in microseconds.
     Int(i64),
-    /// A string.
+    /// String.
     Text(Arc<str>),
 }
 
-/// An operator between numbers.
+/// Arithmetic operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ArithmeticOp {
     /// `+`
@@ -125,7 +125,7 @@
 }
 
 impl ArithmeticOp {
-    /// The result, if there is one: none on overflow and on division by zero.
+    /// Applies the operator. Returns `None` on overflow and on division by zero.
     pub fn apply(self, a: i64, b: i64) -> Option<i64> {
         match self {
             Self::Add => a.checked_add(b),
@@ -137,7 +137,7 @@
     }
 }
 
-/// A test of one text by another.
+/// Test of one text against another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TextTest {
     /// `startsWith`
@@ -148,26 +148,26 @@
     Contains,
 }
 
-/// A typed term. Operands are of the types that the checker saw to.
+/// Typed term. The type checker has verified the types of the operands.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Term {
-    /// A constant.
+    /// Boolean constant.
     Bool(bool),
-    /// A number, or microseconds.
+    /// Integer, or duration in microseconds.
     Int(i64, ScalarType),
-    /// A string.
+    /// String.
     Text(Arc<str>),
-    /// A field.
+    /// Field of the request.
     Field(Field),
-    /// The header read in this place.
+    /// Header by its index in [`Pool::headers`].
     Header(u16),
-    /// The first query parameter of this name.
+    /// First query parameter of this name.
     Query(Arc<str>),
-    /// A path segment by its number.
+    /// Path segment by its index.
     Segment(u8),
-    /// How many segments there are.
+    /// Number of path segments.
     SegmentCount,
-    /// Two values of one type are the same.
+    /// Equality of two values of one type.
     Eq(TermId, TermId),
     /// `a < b`
     Less(TermId, TermId),
@@ -175,86 +175,86 @@
     LessEq(TermId, TermId),
     /// `!a`
     Not(TermId),
-    /// All hold; the rest is not looked at after one that does not.
+    /// Conjunction; evaluation stops at the first operand that is false.
     And(Vec<TermId>),
-    /// One holds.
+    /// Disjunction; evaluation stops at the first operand that is true.
     Or(Vec<TermId>),
     /// `a ? b : c`
     Conditional(TermId, TermId, TermId),
     /// Arithmetic.
     Arithmetic(ArithmeticOp, TermId, TermId),
-    /// Strings joined.
+    /// Concatenation of strings.
     Concat(Vec<TermId>),
-    /// A test of one text by another.
+    /// Test of one text against another.
     TextTest(TextTest, TermId, TermId),
-    /// A regular expression matches somewhere.
+    /// Whether a regular expression matches anywhere in the text.
     Matches(TermId, u32),
-    /// Bytes of a text.
+    /// Length of a text in bytes.
     Size(TermId),
-    /// It is one of these.
+    /// Whether the value is one of the constants.
     OneOf(TermId, Arc<[Const]>),
-    /// A segment is this text.
+    /// Whether a path segment equals the text.
     InSegments(TermId),
-    /// The value is there.
+    /// Whether an optional value is present.
     Has(TermId),
-    /// The value, or another if it is not there.
+    /// An optional value, or another one if it is absent.
     OrValue(TermId, TermId),
-    /// A hash, from 0 up.
+    /// Non-negative hash of a text.
     Hash(TermId),
-    /// A text read as a number.
+    /// Text parsed as an integer.
     ToInt(TermId),
-    /// A text with its ASCII letters in lower case.
+    /// Text with ASCII letters in lower case.
     LowerAscii(TermId),
 }
 
-/// What the pool knows of a term.
+/// Type, sizes and costs of a term.
 #[derive(Clone, Copy, Debug)]
 pub struct Facts {
-    /// Its type.
+    /// Type of the value.
     pub ty: Type,
-    /// Most bytes of a text.
+    /// Maximum length in bytes if the value is a text.
     pub max_bytes: usize,
-    /// Most steps of its own operation.
+    /// Maximum number of steps of the operation itself.
     pub own_cost: u64,
-    /// Most steps of it with all its parts.
+    /// Maximum number of steps including all operands.
     pub total_cost: u64,
-    /// Bytes that it may build, with all its parts.
+    /// Maximum bytes of the strings built, including all operands.
     pub built_bytes: usize,
 }
 
 /// All terms of a set.
 pub struct Pool {
-    /// Bounds of what requests hold.
+    /// Bounds on the sizes of requests.
     pub bounds: Bounds,
     terms: Vec<Term>,
     facts: Vec<Facts>,
     ids: HashMap<Term, TermId>,
-    /// Headers that terms read, in lower case.
+    /// Names in lower case of the headers that terms read.
     pub headers: Vec<String>,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(bounds: Bounds) -> Self {
         Self { bounds, terms: Vec::new(), facts: Vec::new(), ids: HashMap::new(), headers: Vec::new() }
     }
 
-    /// The term of this number.
+    /// Returns the term with this index.
     pub fn term(&self, id: TermId) -> &Term {
         &self.terms[id as usize]
     }
 
-    /// What is known of it.
+    /// Returns the facts of a term.
     pub fn facts(&self, id: TermId) -> &Facts {
         &self.facts[id as usize]
     }
 
-    /// How many terms there are.
+    /// Returns the number of terms.
     pub fn terms(&self) -> usize {
         self.terms.len()
     }
 
-    /// The number of a term, known or new.
+    /// Returns the index of a term and adds it if it is new.
     pub fn add(&mut self, term: Term) -> TermId {
         if let Some(id) = self.ids.get(&term) {
             return *id;
@@ -267,12 +267,12 @@
         id
     }
 
-    /// Terms of which this one is made.
+    /// Returns the operands of a term.
     pub fn operands(&self, id: TermId) -> Vec<TermId> {
         operands_of(self.term(id))
     }
 
-    /// A term's type, sizes and prices, from those of its parts.
+    /// Computes the facts of a term from those of its operands.
     fn compute_facts(&self, term: &Term) -> Facts {
         let facts_of = |id: &TermId| &self.facts[*id as usize];
         let max_bytes = |id: &TermId| facts_of(id).max_bytes;
@@ -302,7 +302,7 @@
                 (Type::Bool, 0, bounds::compare_cost(max_bytes(a), max_bytes(b)), 0)
             }
             Term::Not(_) => (Type::Bool, 0, 1, 0),
-            // One jump behind each part but the last.
+            // One jump follows each operand but the last.
             Term::And(parts) | Term::Or(parts) => (Type::Bool, 0, parts.len() as u64 - 1, 0),
             Term::Conditional(_, b, c) => (facts_of(b).ty, max_bytes(b).max(max_bytes(c)), 2, 0),
             Term::Arithmetic(_, a, _) => (facts_of(a).ty, 0, 1, 0),
@@ -325,7 +325,7 @@
                 (Type::Bool, 0, 2 * bounds::scan_cost(max_target_bytes) + bounds::copy_cost(max_bytes(a)), 0)
             }
             Term::Has(_) => (Type::Bool, 0, 1, 0),
-            // Two jumps round the value that stands in.
+            // Two jumps surround the fallback value.
             Term::OrValue(a, b) => {
                 let ty = if let Type::Optional(scalar) = facts_of(a).ty {
                     Type::Present(scalar)
@@ -346,12 +346,12 @@
         Facts { ty, max_bytes: bytes, own_cost, total_cost, built_bytes }
     }
 
-    /// Whether a built text stays within its bound.
+    /// Returns whether the strings built for a term keep within [`MAX_BUILT_BYTES`].
     pub fn built_text_fits(&self, id: TermId) -> bool {
         self.facts(id).built_bytes <= MAX_BUILT_BYTES
     }
 
-    /// A term as the language would write it, as far as it has a text of its own.
+    /// Formats a term in the notation of the language if it is a simple one.
     pub fn describe(&self, id: TermId) -> String {
         let mut out = String::new();
         let _ = match self.term(id) {
@@ -389,7 +389,7 @@
     }
 }
 
-/// Terms of which one is made.
+/// Returns the operands of a term.
 fn operands_of(term: &Term) -> Vec<TermId> {
     match term {
         Term::Bool(_) | Term::Int(..) | Term::Text(_) | Term::Field(_) => vec![],
