--- a/crates/yarrowspoke-expr/src/interpreter.rs
+++ b/crates/yarrowspoke-expr/src/interpreter.rs
@@ -1,6 +1,7 @@
-//! The plain way: the syntax tree walked as it stands, with values of their own. It shares no code with the compiler and
-//! its machine beyond parsing, `hash` and regular expressions, and is what they are held against; `explain` shows with
-//! it what each part of a condition comes to.
+//! Reference interpreter that evaluates the syntax tree directly.
+//!
+//! It shares no code with the compiler and its machine beyond parsing, `hash`, `int` and regular expressions, so that
+//! tests can compare them with it. `explain` uses it to show the value of each part of a condition.
 
 use crate::program::{hash, to_int};
 use crate::regexes::Regexes;
@@ -8,18 +9,18 @@
 use crate::syntax::{Binary, Expr, Kind, Unary};
 use std::fmt;
 
-/// A value as the plain way knows it.
+/// Value of an expression.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// An optional value that is not there.
+    /// Missing optional value.
     Absent,
     /// `true` or `false`.
     Bool(bool),
-    /// A number, or microseconds.
+    /// Integer, or duration in microseconds.
     Int(i64),
-    /// A string.
+    /// String.
     Text(String),
-    /// A list.
+    /// List.
     List(Vec<Value>),
 }
 
@@ -35,7 +36,7 @@
     }
 }
 
-/// What an expression comes to for a request; `None` where it has no value.
+/// Evaluates an expression for a request. Returns `None` if it has no value.
 pub fn value(expr: &Expr, request: &Request, regexes: &Regexes, header_names: &[String]) -> Option<Value> {
     Interpreter { request, regexes, header_names }.evaluate(expr)
 }
--- a/crates/yarrowspoke-expr/src/program.rs
+++ b/crates/yarrowspoke-expr/src/program.rs
@@ -1,8 +1,8 @@
-//! Flat programs, and the machine that runs them.
+//! Compiled programs and the machine that runs them.
 //!
-//! A program is a list of operations with jumps that only go forward, so each operation runs at most once: the sum of
-//! their prices bounds the work. Nothing is counted while requests are served; [`Machine::run`] with `COUNTED` adds up
-//! what was in fact done, in the same units, so that tests can hold it against the bound.
+//! A program is a list of instructions whose jumps only go forward, so each instruction runs at most once and the sum
+//! of their costs bounds the work. Steps are not counted while requests are served; [`Machine::run`] with `COUNTED`
+//! counts the steps taken in the same units, so that tests can compare them with the bound.
 
 use crate::bounds::{self, MAX_BUILT_BYTES};
 use crate::regexes::Regexes;
@@ -13,16 +13,16 @@
 use std::hash::Hasher;
 use std::sync::Arc;
 
-/// A value.
+/// Value on the stack of the machine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Value {
-    /// An optional value that is not there.
+    /// Missing optional value.
     Absent,
     /// `true` or `false`.
     Bool(bool),
-    /// A number, or microseconds.
+    /// Integer, or duration in microseconds.
     Int(i64),
-    /// A text.
+    /// Text.
     Text(Slice),
 }
 
@@ -40,11 +40,11 @@
     Less,
     LessEq,
     Not,
-    /// Keeps the value and jumps if it is so, else drops it.
+    /// Keeps the value and jumps if it equals the operand; otherwise drops it.
     JumpIf(bool, u32),
-    /// Drops the value and jumps if it is false.
+    /// Drops the value and jumps if it was false.
     JumpIfFalse(u32),
-    /// Drops an absent value, else jumps.
+    /// Drops the value if it is absent; otherwise jumps.
     JumpIfPresent(u32),
     Jump(u32),
     Arithmetic(ArithmeticOp),
@@ -58,35 +58,35 @@
     Hash,
     ToInt,
     LowerAscii,
-    /// Jumps with the value if it is known for this request.
+    /// If the value is memoized for this request, pushes it and jumps.
     LoadMemo(u32, u32),
-    /// Remembers the value for this request.
+    /// Memoizes the value for this request.
     StoreMemo(u32),
 }
 
-/// A piece of a program that yields one value.
+/// Range of a program that yields one value.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CompiledExpr {
     from: u32,
     to: u32,
-    /// Most steps that it takes.
+    /// Maximum number of steps to run it.
     pub cost: u64,
 }
 
-/// The operations of a set, flat.
+/// Instructions and constants of a set of rules.
 pub struct Program {
     code: Vec<Instruction>,
     texts: Vec<Arc<str>>,
     lists: Vec<Arc<[Const]>>,
-    /// The patterns.
+    /// Regular expressions.
     pub regexes: Regexes,
     memo_slots: u32,
     max_stack: usize,
-    /// Whether any operation asks for segments.
+    /// Whether any instruction reads path segments.
     pub uses_segments: bool,
 }
 
-/// Turns terms into operations.
+/// Compiles terms to instructions.
 pub struct Compiler<'a> {
     pool: &'a Pool,
     uses: &'a [u32],
@@ -96,11 +96,11 @@
     depth: usize,
 }
 
-/// Steps from which a test that several rules share is remembered.
+/// Minimum cost in steps of a test shared by several rules from which its result is memoized.
 const MIN_MEMO_COST: u64 = 6;
 
 impl<'a> Compiler<'a> {
-    /// A compiler of terms of `pool`, of which each is used so often.
+    /// Creates a compiler of terms of `pool`; `uses` is the number of uses of each term.
     pub fn new(pool: &'a Pool, uses: &'a [u32], regexes: Regexes) -> Self {
         let program = Program {
             code: Vec::new(),
@@ -114,7 +114,7 @@
         Self { pool, uses, program, memo: HashMap::new(), texts: HashMap::new(), depth: 0 }
     }
 
-    /// The finished program.
+    /// Returns the finished program.
     pub fn finish(mut self) -> Program {
         self.program.code.shrink_to_fit();
         self.program
@@ -151,7 +151,7 @@
         })
     }
 
-    /// Emits a term; most steps of what was emitted.
+    /// Emits the instructions of a term and returns their maximum cost in steps.
     fn emit_term(&mut self, id: TermId) -> u64 {
         let facts = *self.pool.facts(id);
         let shared =
@@ -277,7 +277,7 @@
 }
 
 impl Program {
-    /// Bytes that it takes.
+    /// Returns the size in bytes.
     pub fn bytes(&self) -> usize {
         let texts = self.texts.iter().map(|t| t.len() + 16).sum::<usize>();
         let entry = |c: &Const| if let Const::Text(t) = c { t.len() + 32 } else { 24 };
@@ -287,23 +287,23 @@
     }
 }
 
-/// What running needs, kept from one request to the next so that nothing is allocated.
+/// State of the machine, reused from one request to the next so that nothing is allocated.
 pub struct Machine {
     stack: Vec<Value>,
     memo: Vec<(u64, Value)>,
     request_number: u64,
     built: String,
     segments: Segments,
-    /// Steps counted for the present request.
+    /// Steps counted for the current request.
     pub steps: u64,
 }
 
-/// No value: an overflow, or a division by zero.
+/// Error of an expression without a value: an overflow, or a division by zero.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoValue;
 
 impl Machine {
-    /// A machine for one program.
+    /// Creates a machine for one program.
     pub fn new(program: &Program) -> Self {
         Self {
             stack: Vec::with_capacity(program.max_stack + 1),
@@ -315,7 +315,7 @@
         }
     }
 
-    /// Begins with another request: what is known of the one before is forgotten.
+    /// Starts the next request and discards the values memoized for the previous one.
     pub fn start_request(&mut self, program: &Program, request: &Request) {
         self.request_number += 1;
         self.steps = 0;
@@ -324,12 +324,12 @@
         }
     }
 
-    /// A text that [`Machine::run`] gave, until it runs again.
+    /// Returns a text that [`Machine::run`] returned. It is valid until the next run.
     pub fn text<'t>(&'t self, program: &'t Program, request: &Request<'t>, slice: Slice) -> &'t str {
         resolve_text(program, &self.built, request, slice)
     }
 
-    /// Runs a part. With `COUNTED` the steps in fact taken are added to [`Machine::steps`].
+    /// Runs one compiled expression. With `COUNTED`, adds the steps taken to [`Machine::steps`].
     pub fn run<const COUNTED: bool>(
         &mut self,
         program: &Program,
@@ -341,7 +341,7 @@
         built.clear();
         let mut at = part.from as usize;
         let end = part.to as usize;
-        // Types were seen to at load: what would be a wrong one counts as no value.
+        // Types were checked at load. A value of the wrong type is treated as no value.
         macro_rules! pop {
             () => {
                 stack.pop().ok_or(NoValue)?
@@ -612,14 +612,15 @@
     whole.get(slice.from as usize..slice.to as usize).unwrap_or("")
 }
 
-/// The language's `hash`: SipHash 1-3 with keys of zero, cut to 63 bits, the same at every front and in every run.
+/// Function `hash` of the language: SipHash 1-3 with zero keys, cut to 63 bits, so that it is the same on every front
+/// and in every run.
 pub fn hash(text: &str) -> i64 {
     let mut hasher = SipHasher13::new();
     hasher.write(text.as_bytes());
     (hasher.finish() >> 1) as i64
 }
 
-/// The language's `int`: digits, with a sign before them or none.
+/// Function `int` of the language: digits with an optional sign.
 pub fn to_int(text: &str) -> Option<i64> {
     if text.len() > bounds::MAX_INT_BYTES {
         return None;
--- a/crates/yarrowspoke-expr/src/regexes.rs
+++ b/crates/yarrowspoke-expr/src/regexes.rs
@@ -1,7 +1,8 @@
-//! Regular expressions as automata that take one step for each byte, whatever the text.
+//! Regular expressions as automata that take one step per byte, whatever the text.
 //!
-//! The regex crate's own engines run in time that grows with the text times the pattern; its automata, made whole at load,
-//! do not. Their size and the work of making them are bounded, so that nested repeats are refused at once.
+//! The regex crate's own engines take time that grows with the length of the text times that of the pattern; its DFAs,
+//! built completely at load, do not. Their size and the work to build them are bounded, so that nested repetitions are
+//! rejected at once.
 
 use crate::bounds::{MAX_AUTOMATON_BUILD_BYTES, MAX_AUTOMATON_BYTES, MAX_PATTERN_BYTES};
 use regex_automata::dfa::{dense, Automaton, StartKind};
@@ -10,13 +11,13 @@
 use regex_automata::{Anchored, MatchKind};
 use std::collections::HashMap;
 
-/// One pattern, ready to run.
+/// Compiled pattern.
 pub struct Regex {
     automaton: dense::DFA<Vec<u32>>,
 }
 
 impl Regex {
-    /// Makes the automaton; else what is expected of a pattern.
+    /// Builds the automaton. On failure returns a description of the patterns that are accepted.
     pub fn new(pattern: &str) -> Result<Self, String> {
         if pattern.len() > MAX_PATTERN_BYTES {
             return Err(format!("at most {MAX_PATTERN_BYTES} bytes"));
@@ -36,7 +37,7 @@
         Ok(Self { automaton })
     }
 
-    /// Whether it matches somewhere in `text`, and how many bytes were looked at.
+    /// Returns whether the pattern matches anywhere in `text`, and the number of bytes read.
     pub fn search(&self, text: &[u8]) -> (bool, usize) {
         let dfa = &self.automaton;
         let Ok(mut state) = dfa.start_state(&Start::new().anchored(Anchored::No)) else { return (false, 0) };
@@ -54,7 +55,7 @@
         (dfa.is_match_state(dfa.next_eoi_state(state)), text.len())
     }
 
-    /// Bytes that it takes.
+    /// Returns the size of the automaton in bytes.
     pub fn bytes(&self) -> usize {
         self.automaton.memory_usage()
     }
@@ -74,16 +75,16 @@
     }
 }
 
-/// All patterns of a set, each once.
+/// All patterns of a set, without duplicates.
 #[derive(Default)]
 pub struct Regexes {
-    /// The patterns, by number.
+    /// Compiled patterns by index.
     pub all: Vec<Regex>,
     numbers: HashMap<String, u32>,
 }
 
 impl Regexes {
-    /// The number of a pattern, known or new.
+    /// Returns the index of a pattern and compiles it if it is new.
     pub fn add(&mut self, pattern: &str) -> Result<u32, String> {
         if let Some(number) = self.numbers.get(pattern) {
             return Ok(*number);
@@ -95,7 +96,7 @@
         Ok(number)
     }
 
-    /// The number of a pattern that was added.
+    /// Returns a pattern that was added before.
     pub fn find(&self, pattern: &str) -> Option<&Regex> {
         self.numbers.get(pattern).and_then(|n| self.all.get(*n as usize))
     }
--- a/crates/yarrowspoke-expr/src/request.rs
+++ b/crates/yarrowspoke-expr/src/request.rs
@@ -1,87 +1,87 @@
-//! What an expression sees of a request: exactly the bytes that are passed on.
+//! Request as expressions read it: exactly the bytes that are forwarded.
 //!
-//! Nothing is decoded. Danger: where one reader decodes `%2e` and another does not, each sees another request; so rules
-//! and machines are shown the same bytes, and a rule that means the decoded form names both.
+//! Nothing is decoded. If rules decoded `%2e` and a machine did not, the two would interpret different requests. Rules
+//! therefore read the same bytes as the machines, and a rule meant for the decoded form has to name both.
 
 use crate::bounds::{Bounds, MAX_METHOD_BYTES, MAX_SEGMENTS};
 use crate::terms::Field;
 
-/// A request as rules see it.
+/// Request that rules are evaluated on.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// The method.
+    /// Method.
     pub method: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// The class's name.
+    /// Name of the class.
     pub class: &'a str,
-    /// The tenant's name; empty if the settings name none so.
+    /// Name of the tenant; empty if the settings do not name the tenant.
     pub tenant: &'a str,
-    /// Values of the headers that the set reads, in its order.
+    /// Values of the headers that the set reads, in the order of the set.
     pub headers: &'a [Option<String>],
-    /// How long the client waits, in microseconds.
+    /// Time that the client waits for the response, in microseconds.
     pub budget: i64,
-    /// The client's guess at the work, in microseconds.
+    /// Estimate of the work by the client, in microseconds.
     pub hint: Option<i64>,
-    /// Marked as a repeat.
+    /// Whether the client marked the request as a retry.
     pub repeat: bool,
-    /// Bytes of the body.
+    /// Length of the body in bytes.
     pub length: i64,
 }
 
-/// Why a request is not looked at by rules, which then answer for nothing.
+/// Part of a request that exceeds the bounds, so that rules are not evaluated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TooLong {
     /// Path and query.
     Target,
-    /// A header that rules read, or the method.
+    /// Header that rules read, or the method.
     Header,
 }
 
-/// Where a text lies.
+/// Buffer that contains a text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TextSource {
-    /// Among the program's constants.
+    /// Constant of the program.
     Const(u32),
-    /// In the request.
+    /// Method of the request.
     Method,
-    /// In the request.
+    /// Target of the request.
     Target,
-    /// In the request.
+    /// Class of the request.
     Class,
-    /// In the request.
+    /// Tenant of the request.
     Tenant,
-    /// In the request's headers.
+    /// Header of the request.
     Header(u16),
-    /// Among the texts that were built for this request.
+    /// Strings built while the expression runs.
     Built,
 }
 
-/// A text, by where it lies.
+/// Text as a range of a buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Slice {
-    /// Where it lies.
+    /// Buffer that contains the text.
     pub source: TextSource,
     /// First byte.
     pub from: u32,
-    /// Byte behind the last.
+    /// End of the range (exclusive).
     pub to: u32,
 }
 
 impl Slice {
-    /// The whole of a source of so many bytes.
+    /// Returns the slice that covers a whole source of `bytes` bytes.
     pub fn whole(source: TextSource, bytes: usize) -> Self {
         Self { source, from: 0, to: bytes as u32 }
     }
 
-    /// How many bytes it has.
+    /// Returns the length in bytes.
     pub fn bytes(&self) -> usize {
         self.to.saturating_sub(self.from) as usize
     }
 }
 
 impl<'a> Request<'a> {
-    /// Whether it keeps within the bounds on which the prices rest.
+    /// Checks that the request keeps within the bounds for which the cost was computed.
     pub fn check_size(&self, bounds: &Bounds) -> Result<(), TooLong> {
         if self.target.len() > bounds.max_target_bytes {
             return Err(TooLong::Target);
@@ -93,12 +93,12 @@
         Ok(())
     }
 
-    /// The path: the target up to its `?`.
+    /// Returns the path: the target up to its `?`.
     pub fn path(&self) -> &'a str {
         self.target.split_once('?').map_or(self.target, |t| t.0)
     }
 
-    /// The first query parameter of this name, as bytes of the target.
+    /// Returns the value of the first query parameter of this name, as a range of the target.
     pub fn query(&self, name: &str) -> Option<Slice> {
         let mut from = self.path().len() + 1;
         let query = self.target.get(from..)?;
@@ -114,7 +114,7 @@
         None
     }
 
-    /// A text field.
+    /// Returns a text field.
     pub fn field(&self, field: Field) -> Slice {
         match field {
             Field::Method => Slice::whole(TextSource::Method, self.method.len()),
@@ -126,16 +126,16 @@
     }
 }
 
-/// Where the path's segments lie, found in one pass.
+/// Positions of the path segments, found in one pass.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Segments {
     spans: [(u32, u32); MAX_SEGMENTS],
-    /// How many segments the path has, those past the ones kept included.
+    /// Number of segments of the path, including those whose positions are not kept.
     pub count: usize,
 }
 
 impl Segments {
-    /// Takes a path apart. The empty text before its first `/` is no segment.
+    /// Splits a path into segments. The empty text before the first `/` is not a segment.
     pub fn split_path(&mut self, path: &str) {
         let from = usize::from(path.starts_with('/'));
         let mut at = from;
@@ -149,7 +149,7 @@
         }
     }
 
-    /// A segment by its number.
+    /// Returns a segment by its index.
     pub fn get(&self, n: usize) -> Option<Slice> {
         let (from, to) = *self.spans.get(n).filter(|_| n < self.count)?;
         Some(Slice { source: TextSource::Target, from, to })
