--- a/crates/yarrowspoke-expr/src/buckets.rs
+++ b/crates/yarrowspoke-expr/src/buckets.rs
@@ -1,30 +1,30 @@
-//! Limits by a computed key, in a table of bounded size. This module alone decides on them.
+//! Rate limits by a computed key, in a table of bounded size.
 //!
-//! A bucket holds tokens that come at a rate, up to a burst (the token bucket of RFC 2697's single rate). One that is
-//! full again says nothing that a new one would not, so it can be forgotten: forgetting any other would give its key a
-//! fresh burst. Hence the two rules of the table:
+//! Each limit is a token bucket that refills at a rate up to a burst (as with the single rate of RFC 2697). A full
+//! bucket carries no more information than a new one, so it can be evicted. Evicting any other bucket would grant its
+//! key another burst. The table therefore follows two rules:
 //!
-//! - Only full buckets make room. Where none can, a new key draws on its rule's **shared** bucket, so that no key ever
-//!   gets more than its rate and burst, however many keys a hostile client makes up.
-//! - Keys that come back after their bucket had filled up again become **known**, and half of the table is theirs. Danger:
-//!   without it a flood of new keys would leave those who come every day only the shared bucket.
+//! - Only full buckets are evicted. Where none can be, a new key draws on the **shared** bucket of its rule, so that no
+//!   key ever gets more than its rate and burst, however many keys a hostile client makes up.
+//! - Keys that return after their bucket has filled up again are **returning** keys, for which half of the table is
+//!   reserved. Without it, a flood of new keys would leave regular clients only the shared bucket.
 
 use lru::LruCache;
 use std::collections::HashMap;
 use std::num::NonZeroUsize;
 use yarrowspoke::interface::Micros;
 
-/// Buckets that have gone longest without a request and are looked at for room, each time.
+/// Number of least recently used buckets that are checked for eviction each time.
 const EVICTION_CANDIDATES: usize = 4;
 
-/// A limit as a rule states it.
+/// Limit of a rule.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// The rule, the same number before and after a reload.
+    /// Identifier of the rule, the same before and after a reload.
     pub rule: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests at once.
+    /// Requests that may be made at once.
     pub burst: f64,
 }
 
@@ -32,7 +32,7 @@
 struct Bucket {
     tokens: f64,
     updated_at: Micros,
-    /// Requests turned away since one was last let through.
+    /// Requests rejected since the bucket was last full, less one for each request admitted since.
     rejected: f64,
     rate: f64,
     burst: f64,
@@ -43,7 +43,7 @@
         Self { tokens: limit.burst, updated_at: now, rejected: 0.0, rate: limit.rate, burst: limit.burst }
     }
 
-    /// Tokens at a later time. Time that goes backwards brings none.
+    /// Returns the tokens at `now`. A clock that goes backwards adds no tokens.
     fn tokens_at(&self, now: Micros) -> f64 {
         (self.tokens + self.rate * now.saturating_sub(self.updated_at) as f64 / 1e6).min(self.burst)
     }
@@ -55,12 +55,13 @@
     fn refill(&mut self, now: Micros, limit: &Limit) {
         let tokens = self.tokens_at(now);
         (self.tokens, self.updated_at) = (tokens.min(limit.burst), self.updated_at.max(now));
-        // A reload may state others for the same rule.
+        // A reload may have changed the rate and the burst of the rule.
         (self.rate, self.burst) = (limit.rate, limit.burst);
     }
 
-    /// Time until a token is there for one more than were turned away. Danger: all that are told the same time come back
-    /// together; so each is told a time by which the rate has served those before it.
+    /// Returns the time until there is a token for this request after those already rejected. If all rejected requests
+    /// were given the same time, they would return together; each is given a time by which the rate has served those
+    /// before it.
     fn next_retry_after(&mut self) -> Micros {
         let missing = (1.0 + self.rejected - self.tokens).max(0.0);
         self.rejected += 1.0;
@@ -68,7 +69,7 @@
     }
 }
 
-/// Where a key's bucket is.
+/// Table in which the bucket of a key is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BucketLocation {
     Returning,
@@ -76,29 +77,29 @@
     Shared,
 }
 
-/// Counts of what the table did.
+/// Counters of admitted and rejected requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BucketCounts {
-    /// Requests let through.
+    /// Requests admitted.
     pub admitted: u64,
-    /// Requests turned away.
+    /// Requests rejected.
     pub rejected: u64,
-    /// Requests that drew on a shared bucket.
+    /// Times that a shared bucket was used.
     pub shared: u64,
 }
 
-/// All buckets.
+/// Bounded table of the token buckets of all limits.
 pub struct Buckets {
     returning: LruCache<u64, Bucket>,
     new_keys: LruCache<u64, Bucket>,
     shared: HashMap<u64, Bucket>,
     max_keys: usize,
-    /// What was done since it was last asked.
+    /// Counts since they were last taken.
     pub counts: BucketCounts,
 }
 
 impl Buckets {
-    /// An empty table for `max_keys` keys, half of them for known ones.
+    /// Creates an empty table for `max_keys` keys, half of them for returning keys.
     pub fn new(max_keys: usize) -> Self {
         let half = NonZeroUsize::new(max_keys / 2).unwrap_or(NonZeroUsize::MIN);
         Self {
@@ -110,13 +111,13 @@
         }
     }
 
-    /// Keys in the table.
+    /// Returns the number of keys in the table.
     pub fn keys(&self) -> usize {
         self.returning.len() + self.new_keys.len()
     }
 
-    /// Takes one token of each of these buckets, or none and tells when to come back. `key` is a hash of the rule and its
-    /// key, by a hash that clients cannot foresee.
+    /// Takes one token from each of the buckets. If any has none left, takes nothing and returns the time after which
+    /// to retry. The key of each limit is a keyed hash of the rule and its key that clients cannot predict.
     pub fn take(&mut self, now: Micros, limits: &[(Limit, u64)]) -> Result<(), Micros> {
         let mut retry_after = None;
         for (limit, key) in limits {
@@ -131,7 +132,7 @@
         }
         for (limit, key) in limits {
             let bucket = self.bucket(now, limit, *key);
-            // Two limits of one request may share a bucket that has a single token left: it then goes below 0.
+            // Two limits of one request may share a bucket with a single token left, which then goes below 0.
             bucket.tokens -= 1.0;
             bucket.rejected = (bucket.rejected - 1.0).max(0.0);
         }
@@ -139,7 +140,7 @@
         Ok(())
     }
 
-    /// The bucket of a key, filled up to now.
+    /// Returns the bucket of a key, refilled up to `now`.
     fn bucket(&mut self, now: Micros, limit: &Limit, key: u64) -> &mut Bucket {
         let location = self.locate(now, limit, key);
         let bucket = match location {
@@ -166,7 +167,7 @@
             return BucketLocation::Returning;
         }
         if let Some(bucket) = self.new_keys.peek(&key).copied() {
-            // It comes back after its bucket had filled up: no flood, but somebody who was here before.
+            // The key returns after its bucket has filled up, so it is a regular client and not part of a flood.
             let returns = now > bucket.updated_at && bucket.tokens < bucket.burst && bucket.is_full(now);
             if returns && Self::make_room(&mut self.returning, self.max_keys, now) {
                 self.new_keys.pop(&key);
@@ -176,7 +177,8 @@
             return BucketLocation::New;
         }
         if Self::make_room(&mut self.new_keys, self.max_keys, now) {
-            // Danger: it may have drawn on the shared bucket before, and a fresh burst would come on top of that.
+            // The key may have drawn on the shared bucket before. A full new bucket would grant it a burst on top of
+            // that.
             let mut bucket = Bucket::new(now, limit);
             bucket.tokens =
                 self.shared.get(&limit.rule).map_or(limit.burst, |s| s.tokens_at(now).min(limit.burst));
@@ -186,7 +188,8 @@
         BucketLocation::Shared
     }
 
-    /// Whether one more fits, at most at the price of a full bucket that has rested long.
+    /// Makes sure that `table` has room for one more key; if needed, evicts a full bucket that was not used recently.
+    /// Returns whether there is room.
     fn make_room(table: &mut LruCache<u64, Bucket>, max_keys: usize, now: Micros) -> bool {
         if table.len() < max_keys {
             return true;
@@ -195,7 +198,7 @@
         full.is_some_and(|key| table.pop(&key).is_some())
     }
 
-    /// Forgets the shared buckets of rules that are no more.
+    /// Removes the shared buckets of rules that no longer exist.
     pub fn retain_rules(&mut self, rules: impl Fn(u64) -> bool) {
         self.shared.retain(|rule, _| rules(*rule));
     }
--- a/crates/yarrowspoke-expr/src/index.rs
+++ b/crates/yarrowspoke-expr/src/index.rs
@@ -1,7 +1,7 @@
-//! Finding the rules that may hold, without looking at each.
+//! Index from constant texts to the rules that may hold, so that not every rule is evaluated.
 //!
-//! A condition is found by one of its parts: a text that must be one of some constants, or must begin with one. All
-//! rules that are found by the same text share one look-up. What has no such part is looked at for every request.
+//! A condition is indexed by one of its parts: a text that must equal one of several constants, or start with one. All
+//! rules indexed by the same text share one lookup. A condition without such a part is evaluated for every request.
 
 use crate::bounds;
 use crate::logic::{allowed_texts, conjuncts, disjuncts, required_prefix};
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// How one part of a condition is found.
+/// Lookup by which one part of a condition is indexed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum LookupKey {
     OneOf(TermId, Vec<Arc<str>>),
@@ -33,24 +33,24 @@
     }
 }
 
-/// Rules by constants of one text.
+/// Rules indexed by the value of one text term.
 struct TextIndex {
     value: CompiledExpr,
-    /// Most bytes of the text.
+    /// Maximum length of the text in bytes.
     max_bytes: usize,
     equals: HashMap<Arc<str>, Vec<u32>>,
     longest: usize,
     prefixes: HashMap<Arc<str>, Vec<u32>>,
-    /// Lengths of the prefixes.
+    /// Lengths of the prefixes, in ascending order.
     lengths: Vec<usize>,
-    /// Most steps for all rules found at once.
+    /// Maximum number of steps of all rules that one value selects.
     max_match_cost: u64,
-    /// Where that is.
+    /// Description of that value and its rules.
     costliest_match: String,
 }
 
 impl TextIndex {
-    /// Steps of the look-ups for a text of so many bytes.
+    /// Returns the steps of the lookups for a text of `bytes` bytes.
     fn cost(&self, bytes: usize) -> u64 {
         let equals = if self.equals.is_empty() { 0 } else { bounds::lookup_cost(bytes.min(self.longest)) };
         let lengths = self.lengths.iter().take_while(|l| **l <= bytes);
@@ -58,21 +58,21 @@
     }
 }
 
-/// The index of a set.
+/// Index of a set of rules.
 pub struct Index {
     text_indexes: Vec<TextIndex>,
-    /// Rules that are looked at for every request, as bits.
+    /// Bitmap of the rules that are evaluated for every request.
     always_evaluated: Vec<u64>,
-    /// How many those are.
+    /// Number of rules that are evaluated for every request.
     pub unindexed: usize,
-    /// Most steps that a request takes, the actions left out.
+    /// Maximum number of steps for a request, without the actions of rules.
     pub cost: u64,
-    /// What costs most of it, in words.
+    /// Description of the part that contributes most to the cost.
     pub costliest: String,
 }
 
 impl Index {
-    /// Builds the index of conditions; `rule_costs` are the steps of each rule once it is found.
+    /// Builds the index of `conditions`. `rule_costs` are the steps to evaluate each rule once it is selected.
     pub fn build(
         pool: &Pool,
         conditions: &[TermId],
@@ -82,7 +82,7 @@
     ) -> Self {
         let lookup_keys: Vec<Vec<Vec<LookupKey>>> =
             conditions.iter().map(|c| lookup_keys(pool, *c)).collect();
-        // Steps of all rules that one constant finds: the fewer, the better it tells them apart.
+        // Total steps of the rules that each constant selects. The lower it is, the more selective is the constant.
         let mut costs_by_key: HashMap<(TermId, &str, bool), u64> = HashMap::new();
         for (n, lookup_key) in
             lookup_keys.iter().enumerate().flat_map(|(n, w)| w.iter().flatten().map(move |w| (n, w)))
@@ -141,7 +141,7 @@
             let lengths: BTreeSet<usize> = prefixes.keys().map(|p| p.len()).collect();
             let lengths: Vec<usize> = lengths.into_iter().collect();
             let total_cost = |rules: &Vec<u32>| rules.iter().map(|r| rule_costs[*r as usize]).sum::<u64>();
-            // Any text that meets a prefix meets just the prefixes of the longest one that it meets.
+            // The prefixes that a text matches are exactly the prefixes of the longest one that it matches.
             let prefix_cost = |text: &str| {
                 let lengths = lengths.iter().filter_map(|l| text.get(..*l));
                 lengths.filter_map(|p| prefixes.get(p)).map(total_cost).sum::<u64>()
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Marks in `bits` all rules that may hold.
+    /// Sets the bits of all rules that may hold.
     pub fn find_candidates<const COUNTED: bool>(
         &self,
         program: &Program,
@@ -214,7 +214,7 @@
         }
         for text_index in &self.text_indexes {
             let value = machine.run::<COUNTED>(program, text_index.value, request);
-            // Without a value none of its rules can hold.
+            // If the text has no value, none of the rules indexed by it can hold.
             let Ok(Value::Text(slice)) = value else { continue };
             if COUNTED {
                 machine.steps += text_index.cost(slice.bytes());
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Bytes that it takes.
+    /// Returns the size in bytes.
     pub fn bytes(&self) -> usize {
         let table = |t: &HashMap<Arc<str>, Vec<u32>>| {
             t.iter().map(|(k, r)| 64 + k.len() + 4 * r.capacity()).sum::<usize>()
@@ -252,7 +252,7 @@
     bits[n as usize / 64] >> (n % 64) & 1 == 1
 }
 
-/// For each alternative of a condition the ways to find it.
+/// Returns, for each alternative of a condition, the lookups by which it can be indexed.
 fn lookup_keys(pool: &Pool, condition: TermId) -> Vec<Vec<LookupKey>> {
     let of = |part: TermId| {
         let among = allowed_texts(pool, part).map(|(of, texts)| LookupKey::OneOf(of, texts));
--- a/crates/yarrowspoke-expr/src/lib.rs
+++ b/crates/yarrowspoke-expr/src/lib.rs
@@ -1,11 +1,11 @@
 //! Matching expressions: rules that classify requests, written in a small typed language.
 //!
-//! Its own decisions live in two modules: [`ruling`], what rules may say and what several of them come to, and
-//! [`buckets`], limits by a computed key. All else is mechanism: parse, type, bound, compile, find, run.
+//! Two modules define policy: [`ruling`] defines what rules may do and how several of them are combined, and
+//! [`buckets`] limits rates by a computed key. The others parse, type-check, bound, compile, index and run expressions.
 //!
-//! The language is a part of CEL (the Common Expression Language): its names and operators, without macros, maps,
-//! messages and conversions. Everything about it is finite: a text is read with bounded depth, a program has no loops,
-//! and every operation has a price at the largest inputs, whose sum is refused at load if it is over the stated bound.
+//! The language is a subset of CEL (the Common Expression Language): its names and operators, without macros, maps,
+//! messages and conversions. Evaluation always ends: nesting is bounded, programs have no loops, and every operation
+//! has a cost at the largest inputs. A set whose total cost exceeds the configured bound is rejected when it is loaded.
 
 pub mod bounds;
 pub mod buckets;
--- a/crates/yarrowspoke-expr/src/logic.rs
+++ b/crates/yarrowspoke-expr/src/logic.rs
@@ -1,13 +1,14 @@
-//! What can be said of conditions without a request: which can never hold, and which are never reached.
+//! Static analysis of conditions: which can never hold, and which are shadowed by an earlier rule.
 
 use crate::terms::{Const, Pool, ScalarType, Term, TermId, TextTest};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Pairs of rules that are compared at the most. Danger: a file of thousands of like rules would take minutes to load.
+/// Maximum number of pairs of rules that are compared. Without it, a file of thousands of similar rules would take
+/// minutes to load.
 const MAX_COMPARED_PAIRS: usize = 4_000_000;
 
-/// The parts of a condition that all hold.
+/// Returns the parts of a condition that must all hold.
 pub fn conjuncts(pool: &Pool, id: TermId) -> Vec<TermId> {
     match pool.term(id) {
         Term::And(parts) => parts.clone(),
@@ -16,7 +17,7 @@
     }
 }
 
-/// The parts of a condition of which one holds.
+/// Returns the parts of a condition of which one must hold.
 pub fn disjuncts(pool: &Pool, id: TermId) -> Vec<TermId> {
     match pool.term(id) {
         Term::Or(parts) => parts.clone(),
@@ -24,7 +25,7 @@
     }
 }
 
-/// What a part says of one text: that it is among these.
+/// If a part restricts a text to a list of constants, returns the text and the constants.
 pub fn allowed_texts(pool: &Pool, id: TermId) -> Option<(TermId, Vec<Arc<str>>)> {
     match pool.term(id) {
         Term::Eq(of, text) => match pool.term(*text) {
@@ -39,7 +40,7 @@
     }
 }
 
-/// What a part says of one text: that it begins so.
+/// If a part requires a text to start with a constant, returns the text and the prefix.
 pub fn required_prefix(pool: &Pool, id: TermId) -> Option<(TermId, Arc<str>)> {
     match pool.term(id) {
         Term::TextTest(TextTest::StartsWith, of, by) => match pool.term(*by) {
@@ -50,7 +51,7 @@
     }
 }
 
-/// What a part says of one number: that it lies between these, both included.
+/// If a part restricts a number to a range, returns the number and the inclusive bounds.
 fn allowed_range(pool: &Pool, id: TermId) -> Option<(TermId, i64, i64)> {
     let int = |id: &TermId| if let Term::Int(n, _) = pool.term(*id) { Some(*n) } else { None };
     match pool.term(id) {
@@ -74,7 +75,7 @@
     }
 }
 
-/// Whether a condition can never hold, as far as that is plain from its constants.
+/// Returns whether a condition can never hold, as far as its constants show.
 pub fn is_never_true(pool: &Pool, id: TermId) -> bool {
     disjuncts(pool, id).iter().all(|part| {
         let all = conjuncts(pool, *part);
@@ -105,7 +106,7 @@
                 }
             }
         }
-        // What the text must be, against how it must begin and what it must not be.
+        // Compares the texts that are allowed with the required prefixes and the excluded texts.
         all.iter().any(|id| {
             if let Some((of, prefix)) = required_prefix(pool, *id) {
                 return allowed
@@ -119,7 +120,7 @@
     })
 }
 
-/// Whether `b` holds wherever `a` does.
+/// Returns whether `b` holds whenever `a` holds.
 fn implies(pool: &Pool, a: TermId, b: TermId) -> bool {
     if a == b {
         return true;
@@ -146,18 +147,19 @@
     }
     match (allowed_range(pool, a), allowed_range(pool, b)) {
         (Some((operand_a, min, max)), Some((operand_b, min_b, max_b))) => {
-            // A list of numbers has gaps, so its range says less than it does.
+            // A list of numbers has gaps, so its range does not imply that every number in it is allowed.
             operand_a == operand_b && min >= min_b && max <= max_b && !matches!(pool.term(b), Term::OneOf(..))
         }
         _ => false,
     }
 }
 
-/// Whether evaluating a part always yields a value, whatever the request.
+/// Returns whether evaluating a term yields a value for every request.
 fn always_has_value(pool: &Pool, id: TermId) -> bool {
     let own = match pool.term(id) {
         Term::Arithmetic(_, _, b) => {
-            // A remainder or a quotient by a constant other than 0 and -1 neither overflows nor fails.
+            // Division by a constant other than 0 and -1 neither overflows nor fails; only positive constants are
+            // considered.
             let safe = matches!(pool.term(*b), Term::Int(n, ScalarType::Int) if *n > 0);
             safe && matches!(
                 pool.term(id),
@@ -169,11 +171,11 @@
     own && pool.operands(id).iter().all(|p| always_has_value(pool, *p))
 }
 
-/// For each condition the earlier one, if any, that holds wherever it holds, so that of "first match" it is never
-/// reached; and whether all pairs were compared.
+/// For each condition, returns the earlier one, if any, that holds whenever it does, so that with "first match" it is
+/// never reached. Also returns whether all pairs were compared.
 pub fn find_shadowed(pool: &Pool, conditions: &[TermId]) -> (Vec<Option<usize>>, bool) {
     let mut shadowed_by = vec![None; conditions.len()];
-    // Earlier conditions, each under one of its parts: by the text that it is about, or by itself.
+    // Earlier conditions, each under one of its parts: by the text that the part tests, or by the part itself.
     let mut rules_by_key: HashMap<(TermId, Option<Arc<str>>), Vec<usize>> = HashMap::new();
     let mut always: Option<usize> = None;
     let mut compared_pairs = 0;
@@ -195,7 +197,7 @@
             keys
         };
         let mut found = always;
-        'search: for part in &parts {
+        'seek: for part in &parts {
             for key in keys(*part) {
                 for earlier in rules_by_key.get(&key).into_iter().flatten() {
                     compared_pairs += 1;
@@ -205,13 +207,14 @@
                     let earlier_parts = conjuncts(pool, conditions[*earlier]);
                     if earlier_parts.iter().all(|t| parts.iter().any(|p| implies(pool, *p, *t))) {
                         found = Some(*earlier);
-                        break 'search;
+                        break 'seek;
                     }
                 }
             }
         }
         shadowed_by[n] = found;
-        // Danger: an earlier condition that sometimes has no value lets those requests through to the later one.
+        // An earlier condition that sometimes has no value lets those requests reach the later one, so it shadows
+        // nothing.
         if found.is_some() || !always_has_value(pool, *id) {
             continue;
         }
--- a/crates/yarrowspoke-expr/src/ruling.rs
+++ b/crates/yarrowspoke-expr/src/ruling.rs
@@ -1,92 +1,94 @@
-//! What rules may say of a request, and what several of them come to. This module alone decides that.
+//! Actions of rules, and the ruling that results from all rules that hold for a request.
 //!
-//! A rule only ever narrows: it makes a request unrepeatable and never the reverse, lowers the attempts, shortens the
-//! wait, refuses. What it says of class, subject and place counts for what is not guarded: aim, worth, hash position,
-//! preference. The guards of the decision module go by the request's own class and key whatever a rule says.
+//! A rule can only restrict a request: it can make it at-most-once, lower its attempts, shorten its budget or reject
+//! it, never the reverse. Its class, subject, zone and kind affect only what is not a safety guard: latency target,
+//! worth, hash position and preference. The guards of the decision module use the class and the key of the request
+//! itself, whatever the rules set.
 
 use crate::syntax::Span;
 use std::collections::BTreeSet;
 use yarrowspoke::interface::{Class, DedupScope, Idempotency, Micros, RequestPolicy};
 
-/// A limit as the file states it.
+/// Limit as the file defines it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitSource {
-    /// Expression of the key; one bucket for all if none.
+    /// Expression of the key; without one, all requests share one bucket.
     pub key: Option<String>,
-    /// Requests a second, of all fronts together.
+    /// Requests per second over all fronts.
     pub rate: f64,
-    /// Requests at once, of all fronts together.
+    /// Requests at once over all fronts.
     pub burst: f64,
 }
 
-/// What a rule says, as the file states it.
+/// Actions of a rule as the file defines them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RuleActions {
-    /// Counts with this class's aim and worth.
+    /// Uses the latency target and worth of this class.
     pub class: Option<String>,
-    /// Is never sent again once it may have run.
+    /// Never sends the request again once it may have run.
     pub at_most_once: bool,
-    /// Expression of its subject.
+    /// Expression of the subject.
     pub subject: Option<String>,
-    /// Counts for this tenant.
+    /// Accounts the request to this tenant.
     pub tenant: Option<String>,
-    /// Most attempts.
+    /// Maximum number of attempts.
     pub attempts: Option<u32>,
-    /// A limit on such requests.
+    /// Limits the rate of the requests.
     pub limit: Option<LimitSource>,
     /// Prefers machines of this zone.
     pub zone: Option<String>,
     /// Prefers machines of this kind.
     pub kind: Option<String>,
-    /// Longest time that the client's wait is taken for.
+    /// Upper bound on the budget of the client.
     pub budget: Option<Micros>,
-    /// Is refused, to come back after so long.
+    /// Rejects the request with this time after which to retry.
     pub refuse: Option<Micros>,
 }
 
 impl RuleActions {
-    /// Whether it says anything.
+    /// Returns whether no action is set.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 }
 
-/// The names and bounds of a deployment, as its settings tell them.
+/// Names and bounds of a deployment, from its settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment<'a> {
     /// Names of the classes.
     pub class_names: &'a [String],
-    /// The classes.
+    /// The classes, in the order of `class_names`.
     pub classes: &'a [Class],
     /// Names of the tenants.
     pub tenants: &'a [String],
     /// Names of the zones.
     pub zones: &'a [String],
-    /// Names of the machines' kinds.
+    /// Names of the machine kinds.
     pub kinds: &'a [String],
-    /// Most attempts of a request.
+    /// Maximum number of attempts of a request.
     pub max_attempts: u32,
-    /// How many fronts share a limit.
+    /// Number of fronts that share a limit.
     pub fronts: u32,
 }
 
-/// What a rule says, with names turned into positions.
+/// Actions of a rule with names resolved to indexes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct BoundActions {
-    /// For the decision module.
+    /// Policy for the decision module.
     pub policy: RequestPolicy,
-    /// Counts for this tenant.
+    /// Tenant that the request is accounted to.
     pub tenant: Option<u32>,
-    /// Longest time that the client's wait is taken for.
+    /// Upper bound on the budget of the client.
     pub budget: Option<Micros>,
-    /// Rate and burst of this front's part of a limit.
+    /// Rate and burst of this front's share of the limit.
     pub limit: Option<(f64, f64)>,
 }
 
-/// What is wrong with what a rule says: what stands there and what was expected.
+/// Fault in the actions of a rule: what was found and what was expected.
 pub type ActionFault = (String, String);
 
-/// Turns names into positions, for a rule that may hold for the classes named in `holds`, or for any if that is `None`.
+/// Resolves the names in the actions of a rule that can hold for the classes in `holds`, or for any class if it is
+/// `None`.
 pub fn bind(
     actions: &RuleActions,
     holds: Option<&BTreeSet<String>>,
@@ -103,8 +105,8 @@
     };
     let class = place("class", &actions.class, deployment.class_names);
     let tenant = place("tenant", &actions.tenant, deployment.tenants);
-    let zone = place("zone", &actions.zone, deployment.zones);
-    let kind = place("kind", &actions.kind, deployment.kinds);
+    let preferred_zone = place("zone", &actions.zone, deployment.zones);
+    let preferred_kind = place("kind", &actions.kind, deployment.kinds);
     if let Some(n) = actions.attempts.filter(|n| *n > deployment.max_attempts) {
         let wanted = format!("at most the settings' {}", deployment.max_attempts);
         faults.push((format!("{n} attempts"), wanted));
@@ -133,8 +135,8 @@
         max_attempts: actions.attempts,
         value_class: class.map(|c| c as u8),
         hash_key: None,
-        preferred_zone: zone.map(|z| z as u16),
-        preferred_kind: kind.map(|k| k as u8),
+        preferred_zone: preferred_zone.map(|z| z as u16),
+        preferred_kind: preferred_kind.map(|k| k as u8),
         deadline_cut: 0,
         refuse_with_retry_after: actions.refuse,
     };
@@ -143,7 +145,8 @@
     Ok(BoundActions { policy, tenant: tenant.map(|t| t as u32), budget: actions.budget, limit })
 }
 
-/// What would be expected, if counting a request of class `own_class` as `target` were to loosen what guards it.
+/// If treating a request of class `own_class` as `target` would weaken its guards, returns the class that is expected
+/// instead.
 fn loosening_fault(own_class: &Class, target: &Class) -> Option<String> {
     let group = |c: &Class| match c.dedup_scope {
         DedupScope::All => "all machines",
@@ -169,23 +172,23 @@
     }
 }
 
-/// What all rules that hold come to.
+/// Combined result of all rules that hold.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Ruling {
-    /// For the decision module; `cut` is for the caller to fill in.
+    /// Policy for the decision module; the caller sets `deadline_cut`.
     pub policy: RequestPolicy,
-    /// Counts for this tenant.
+    /// Tenant that the request is accounted to.
     pub tenant: Option<u32>,
-    /// Longest time that the client's wait is taken for.
+    /// Upper bound on the budget of the client.
     pub budget: Option<Micros>,
-    /// Rules that held.
+    /// Number of rules that held.
     pub matched: u32,
-    /// Conditions and keys that had no value.
+    /// Number of conditions, subjects and keys that had no value.
     pub without_value: u32,
 }
 
 impl Ruling {
-    /// Takes in what one more rule says. Of bounds the tightest holds, of everything else the first that says it.
+    /// Adds the actions of one more rule. Of bounds the tightest applies, of everything else the first one set.
     pub fn add(&mut self, bound: &BoundActions, subject: Option<u64>) {
         let (combined, added) = (&mut self.policy, &bound.policy);
         self.matched += 1;
@@ -195,7 +198,7 @@
         combined.hash_key = combined.hash_key.or(subject);
         combined.preferred_zone = combined.preferred_zone.or(added.preferred_zone);
         combined.preferred_kind = combined.preferred_kind.or(added.preferred_kind);
-        // The longest time to come back: sooner, another rule would refuse it again.
+        // The longest time applies: a client that retries sooner would be rejected by the other rule again.
         combined.refuse_with_retry_after =
             combined.refuse_with_retry_after.max(added.refuse_with_retry_after);
         self.tenant = self.tenant.or(bound.tenant);
@@ -210,30 +213,30 @@
     }
 }
 
-/// A place in a rule's texts.
+/// Part of a rule that a fault refers to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RulePart {
     /// Its condition.
     When,
-    /// The expression of its subject.
+    /// Expression of its subject.
     Subject,
-    /// The expression of its limit's key.
+    /// Expression of its limit's key.
     LimitKey,
     /// The rule as a whole.
     #[default]
     Whole,
 }
 
-/// Where a rule is at fault.
+/// Fault in a rule or a set.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RuleFault {
-    /// The rule's position; `None` for the set as a whole.
+    /// Index of the rule; `None` for the set as a whole.
     pub rule: Option<usize>,
-    /// Which of its texts.
+    /// Part of the rule.
     pub rule_part: RulePart,
-    /// Where in that text.
+    /// Position in the text of that part.
     pub at: Span,
-    /// What stands there.
+    /// What was found.
     pub found: String,
     /// What was expected.
     pub expected: String,
--- a/crates/yarrowspoke-expr/src/set.rs
+++ b/crates/yarrowspoke-expr/src/set.rs
@@ -1,4 +1,4 @@
-//! A set of rules: compiled as one whole or refused, and run for each request.
+//! Sets of rules: compiled as a whole or rejected, and evaluated for each request.
 
 use crate::bounds::{self, Bounds, MAX_RULES};
 use crate::buckets::Limit;
@@ -17,35 +17,35 @@
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hasher;
 
-/// Which of the rules that hold count.
+/// Which of the rules that hold apply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Order {
-    /// The first one only.
+    /// Only the first one.
     #[default]
     First,
     /// All of them, in order.
     All,
 }
 
-/// One rule as the file states it.
+/// Rule as the file defines it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RuleSource {
-    /// Its name, the only one of its set.
+    /// Name, unique in the set.
     pub name: String,
-    /// Its condition.
+    /// Condition.
     pub when: String,
-    /// What it says.
+    /// Actions.
     pub actions: RuleActions,
 }
 
-/// A set as the file states it.
+/// Set of rules as the file defines it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RuleSetSource {
-    /// Which of the rules that hold count.
+    /// Which of the rules that hold apply.
     pub order: Order,
-    /// Its bounds.
+    /// Bounds of the set.
     pub bounds: Bounds,
-    /// The rules.
+    /// Rules in the order of the file.
     pub rules: Vec<RuleSource>,
 }
 
@@ -56,26 +56,26 @@
     subject: Option<CompiledExpr>,
     limit_key: Option<CompiledExpr>,
     bound_actions: BoundActions,
-    /// Number of its limit, the same before and after a reload.
+    /// Identifier of its limit, the same before and after a reload.
     limit_id: u64,
-    /// Its condition as it was written, for `explain`.
+    /// Source text of the condition, for `explain`.
     text: String,
-    /// Classes for which it can hold, if its condition names them.
+    /// Classes for which the rule can hold, if its condition names them.
     possible_classes: Option<BTreeSet<String>>,
-    /// It holds for every request of those classes.
+    /// Whether the rule holds for every request of those classes.
     whole_class: bool,
 }
 
-/// Something that loads, yet is hardly meant so.
+/// Warning about a rule that is valid but probably not intended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Warning {
-    /// The rule's position, if it is about one.
+    /// Index of the rule, if the warning is about one.
     pub rule: Option<usize>,
-    /// What is odd.
+    /// Description of the problem.
     pub text: String,
 }
 
-/// A compiled set.
+/// Compiled set of rules.
 pub struct RuleSet {
     order: Order,
     bounds: Bounds,
@@ -84,28 +84,28 @@
     index: Index,
     headers: Vec<String>,
     cost: u64,
-    /// What is odd in it.
+    /// Warnings found at load.
     pub warnings: Vec<Warning>,
 }
 
-/// What a rule came to, for those who ask why.
+/// Evaluation of one rule for `explain`.
 #[derive(Clone, Debug)]
 pub struct RuleExplanation {
-    /// Its name.
+    /// Name of the rule.
     pub name: String,
-    /// Whether it held; `None` where its condition had no value.
+    /// Whether the condition held; `None` if it had no value.
     pub matched: Option<bool>,
-    /// Whether the index found it.
+    /// Whether the index selected the rule.
     pub is_candidate: bool,
-    /// The parts of its condition, each with what it came to.
+    /// Parts of the condition with the value of each.
     pub parts: Vec<(String, String)>,
 }
 
-/// Steps of every request, whatever the rules: the call itself.
+/// Steps that every request takes, whatever the rules: the call itself.
 const BASE_COST: u64 = 4;
 
 impl RuleSet {
-    /// Compiles a set; all faults that are found in one reading.
+    /// Compiles a set, or returns all faults found in one pass.
     pub fn compile(source: &RuleSetSource) -> Result<Self, Vec<RuleFault>> {
         let mut faults = Vec::new();
         let whole_rule_fault = |rule, found: String, expected: String| RuleFault {
@@ -164,8 +164,8 @@
                     costliest,
                 });
             }
-            // Danger: patterns are made while the file is read, and thousands of large ones would fill the memory
-            // before the whole is weighed.
+            // Patterns are compiled while the file is read. Without this check, thousands of large ones could exhaust
+            // the memory before the size of the whole set is checked.
             let made: usize = regexes.all.iter().map(|r| r.bytes()).sum();
             if made > source.bounds.max_bytes {
                 let found = format!("regular expressions of {made} bytes up to rule {}", rule.name);
@@ -198,7 +198,7 @@
             let when = compiler.compile(checked_rules.when);
             let subject = checked_rules.subject.map(|id| compiler.compile(id));
             let limit_key = checked_rules.key.map(|id| compiler.compile(id));
-            // Keys are hashed once they are there.
+            // Subjects and keys are hashed after they are evaluated.
             let hashed_cost = |part: Option<CompiledExpr>, id: Option<TermId>| {
                 part.map_or(0, |p| p.cost + id.map_or(0, |id| bounds::lookup_cost(pool.facts(id).max_bytes)))
             };
@@ -246,7 +246,7 @@
         set.within_bounds(&checked_rules, &rule_costs, &action_costs).map(|()| set)
     }
 
-    /// Refuses what is too dear or too large, naming the dearest part.
+    /// Rejects a set that is too expensive or too large; the fault names the most expensive part.
     fn within_bounds(
         &self,
         checked_rules: &[CheckedRule],
@@ -293,7 +293,7 @@
         }
     }
 
-    /// Turns the rules' names into a deployment's positions; refuses what would loosen its guards.
+    /// Resolves names of the rules in a deployment. Rejects actions that would weaken its guards.
     pub fn bind(&mut self, deployment: &Deployment) -> Result<(), Vec<RuleFault>> {
         let mut faults = Vec::new();
         for (n, rule) in self.rules.iter_mut().enumerate() {
@@ -331,7 +331,7 @@
             } else {
                 format!("every request of {}", refused_classes.join(", "))
             };
-            // In "first match" an earlier rule may let some through: that is told apart.
+            // With "first match", an earlier rule may let some requests through, so the warning says so.
             let unless = match self.order {
                 Order::First => ", unless an earlier rule holds for it",
                 Order::All => "",
@@ -345,48 +345,48 @@
         }
     }
 
-    /// Most steps that a request can cost.
+    /// Returns the maximum number of steps for a request.
     pub fn cost(&self) -> u64 {
         self.cost
     }
 
-    /// What costs most of that, in words.
+    /// Returns a description of the part that contributes most to [`RuleSet::cost`].
     pub fn costliest(&self) -> &str {
         &self.index.costliest
     }
 
-    /// The bounds under which it was compiled.
+    /// Returns the bounds under which the set was compiled.
     pub fn bounds(&self) -> &Bounds {
         &self.bounds
     }
 
-    /// Names of the headers that it reads, in lower case, in the order of [`Request::headers`].
+    /// Returns the names in lower case of the headers that the set reads, in the order of [`Request::headers`].
     pub fn headers(&self) -> &[String] {
         &self.headers
     }
 
-    /// How many rules it has.
+    /// Returns the number of rules.
     pub fn len(&self) -> usize {
         self.rules.len()
     }
 
-    /// Whether it has no rules.
+    /// Returns whether the set has no rules.
     pub fn is_empty(&self) -> bool {
         self.rules.is_empty()
     }
 
-    /// Rules that are looked at for every request.
+    /// Returns the number of rules that are evaluated for every request.
     pub fn unindexed(&self) -> usize {
         self.index.unindexed
     }
 
-    /// Regular expressions, and bytes of their automata.
+    /// Returns the number of regular expressions and the total size in bytes of their automata.
     pub fn regexes(&self) -> (usize, usize) {
         let all = &self.program.regexes.all;
         (all.len(), all.iter().map(|r| r.bytes()).sum())
     }
 
-    /// Bytes that it takes.
+    /// Returns the size in bytes.
     pub fn bytes(&self) -> usize {
         let rule = |r: &Rule| {
             let names = r.possible_classes.iter().flatten().map(|n| n.len() + 40).sum::<usize>();
@@ -395,13 +395,13 @@
         self.rules.iter().map(rule).sum::<usize>() + self.program.bytes() + self.index.bytes()
     }
 
-    /// Whether a limit of this number is stated.
+    /// Returns whether a rule defines a limit with this identifier.
     pub fn has_limit(&self, id: u64) -> bool {
         self.rules.iter().any(|r| r.limit_id == id && r.actions.limit.is_some())
     }
 
-    /// What the rules come to for a request that [fits](Request::fits) the bounds. With `COUNTED` the steps in fact taken
-    /// are in [`Scratch::steps`].
+    /// Returns the combined result of the rules for a request that passes [`Request::check_size`]. With `COUNTED`,
+    /// counts the steps taken in [`Scratch::steps`].
     pub fn evaluate<const COUNTED: bool>(&self, scratch: &mut Scratch, request: &Request) -> Ruling {
         scratch.limits.clear();
         let Scratch { machine, bits, .. } = scratch;
@@ -463,7 +463,7 @@
                     }
                     hasher.write(machine.text(&self.program, request, slice).as_bytes());
                 }
-                // Without a value all such requests share one key, which limits them together.
+                // Requests whose key has no value share one key, so that they are limited together.
                 Some(_) => ruling.without_value += 1,
                 None => {}
             }
@@ -472,8 +472,8 @@
         ruling.add(&rule.bound_actions, subject);
     }
 
-    /// A rule's subject, by a hash without a key of this front's own: fronts that placed a subject differently would send
-    /// it to different builds.
+    /// Returns the hash of a rule's subject. The hash has no key of this front's own: fronts with different hash
+    /// positions for a subject would send it to different builds.
     fn subject<const COUNTED: bool>(
         &self,
         rule: &Rule,
@@ -486,16 +486,16 @@
         if COUNTED {
             machine.steps += bounds::lookup_cost(slice.bytes());
         }
-        // 0 stands for "no subject".
+        // 0 is reserved for "no subject".
         Some((hash(machine.text(&self.program, request, slice)) as u64).max(1))
     }
 
-    /// The conditions as syntax trees, for [`Set::plainly`].
+    /// Returns the syntax trees of the conditions, for [`RuleSet::matches_interpreted`].
     pub fn syntax_trees(&self) -> Vec<Expr> {
         self.rules.iter().filter_map(|r| parse(&r.text).ok()).collect()
     }
 
-    /// The rules that hold, found by trying each in turn with the syntax tree as it stands.
+    /// Returns the rules that hold, with the reference interpreter and without the index.
     pub fn matches_interpreted(&self, trees: &[Expr], request: &Request) -> Vec<usize> {
         let possible_classes = |tree: &Expr| {
             let value = interpreter::value(tree, request, &self.program.regexes, &self.headers);
@@ -508,8 +508,8 @@
         }
     }
 
-    /// The rules that hold, by the compiled conditions, tried each in turn without the index: the way that is faster than
-    /// the plain one and slower than [`Set::rule`].
+    /// Returns the rules that hold, with the compiled conditions evaluated in order and without the index. This is
+    /// faster than the interpreter and slower than [`RuleSet::evaluate`].
     pub fn matches_sequential(&self, scratch: &mut Scratch, request: &Request) -> Vec<usize> {
         scratch.machine.start_request(&self.program, request);
         let mut matching = Vec::new();
@@ -524,7 +524,7 @@
         matching
     }
 
-    /// The rules that hold, by the index and the compiled conditions.
+    /// Returns the rules that hold, with the index and the compiled conditions.
     pub fn matches_indexed(&self, scratch: &mut Scratch, request: &Request) -> Vec<usize> {
         let Scratch { machine, bits, .. } = scratch;
         machine.start_request(&self.program, request);
@@ -540,7 +540,7 @@
         }
     }
 
-    /// What each rule came to that the index found, or that `all` of them came to.
+    /// Explains the rules that the index selects, or with `all` every rule.
     pub fn explain(&self, scratch: &mut Scratch, request: &Request, all: bool) -> Vec<RuleExplanation> {
         let Scratch { machine, bits, .. } = scratch;
         machine.start_request(&self.program, request);
@@ -572,18 +572,18 @@
             .collect()
     }
 
-    /// What the expressions of a rule's subject and limit come to.
+    /// Returns the actions of a rule.
     pub fn actions(&self, rule: usize) -> &RuleActions {
         &self.rules[rule].actions
     }
 
-    /// A rule's name.
+    /// Returns the name of a rule.
     pub fn name(&self, rule: usize) -> &str {
         &self.rules[rule].name
     }
 }
 
-/// What running a set needs, kept from one request to the next. It belongs to one set.
+/// State for evaluating one set, reused from one request to the next.
 pub struct Scratch {
     machine: Machine,
     bits: Vec<u64>,
@@ -592,25 +592,25 @@
 }
 
 impl Scratch {
-    /// For one set. `seed` keeps clients from foreseeing which keys of limits fall together.
+    /// Creates the state for `set`. The random `seed` prevents clients from predicting which keys of limits collide.
     pub fn new(set: &RuleSet, seed: u64) -> Self {
         let bits = Vec::with_capacity(set.rules.len().div_ceil(64));
         let keys = (seed, seed.rotate_left(32) ^ 0x9e37_79b9_7f4a_7c15);
         Self { machine: Machine::new(&set.program), bits, limits: Vec::new(), keys }
     }
 
-    /// Limits that the last request is under.
+    /// Returns the limits that apply to the last request, each with the hash of its key.
     pub fn limits(&self) -> &[(Limit, u64)] {
         &self.limits
     }
 
-    /// Steps that the last request took, if they were counted.
+    /// Returns the steps that the last request took, if they were counted.
     pub fn steps(&self) -> u64 {
         self.machine.steps
     }
 }
 
-/// A rule that has been read.
+/// Rule whose expressions passed the type checker.
 struct CheckedRule {
     when: TermId,
     subject: Option<TermId>,
@@ -618,7 +618,7 @@
     costliest: CostliestOperation,
 }
 
-/// The dearest operation of a rule.
+/// Most expensive operation of a rule.
 #[derive(Default)]
 struct CostliestOperation {
     cost: u64,
@@ -635,7 +635,7 @@
     }
 }
 
-/// A piece of a text, cut to a length that fits a line.
+/// Returns the part of a text at `at`, shortened to fit on a line.
 fn excerpt_of(text: &str, at: Span) -> String {
     let excerpt = text.get(at.from..at.to).unwrap_or(text);
     let short: String = excerpt.chars().take(60).collect();
@@ -646,14 +646,14 @@
     }
 }
 
-/// How many rules use each term; one that a rule uses several times counts as several.
+/// Counts the uses of each term by rules; a term used several times by one rule counts several times.
 fn term_uses(pool: &Pool, checked_rules: &[CheckedRule]) -> Vec<u32> {
     let mut term_uses = vec![0u32; pool.terms()];
     let roots = checked_rules.iter().flat_map(|r| [Some(r.when), r.subject, r.key]).flatten();
     let mut work: Vec<TermId> = roots.collect();
     while let Some(id) = work.pop() {
         term_uses[id as usize] = term_uses[id as usize].saturating_add(1);
-        // The parts of a term that was met before are counted through it.
+        // The operands of a term that was visited before are already counted.
         if term_uses[id as usize] == 1 {
             work.extend(pool.operands(id));
         }
@@ -661,7 +661,8 @@
     term_uses
 }
 
-/// The classes for which a condition can hold, if it names them, and whether it holds for all their requests.
+/// Returns the classes for which a condition can hold, if it names them, and whether it holds for all requests of those
+/// classes.
 fn classes(pool: &Pool, condition: TermId) -> (Option<BTreeSet<String>>, bool) {
     let mut classes = BTreeSet::new();
     let mut whole_class = true;
