--- a/crates/yarrowspoke-expr/tests/buckets.rs
+++ b/crates/yarrowspoke-expr/tests/buckets.rs
@@ -1,4 +1,5 @@
-//! Limits: no key ever gets more than its rate and burst, whatever else comes; those known are not pushed out.
+//! Tests that no key gets more than its rate and burst, whatever other keys are used, and that returning keys are not
+//! evicted.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -20,7 +21,7 @@
         }
     }
     assert_eq!((passed, told.len()), (5, 15));
-    // Each is told another time, a tenth of a second apart, and finds room then.
+    // The retry times are a tenth of a second apart, and at each of them a token is available.
     assert!(told.windows(2).all(|w| w[1] - w[0] == S / 10), "{told:?}");
     for wait in told {
         assert_eq!(buckets.take(S + wait, &[(LIMIT, 7)]), Ok(()), "told {wait}");
@@ -35,7 +36,7 @@
     for _ in 0..50 {
         assert!(buckets.take(S, &[(LIMIT, 1), (tight, 2)]).is_err());
     }
-    // What was refused took nothing from the other.
+    // The rejected requests took nothing from the other bucket.
     assert_eq!((0..10).filter(|_| buckets.take(S, &[(LIMIT, 1)]).is_ok()).count(), 4);
 }
 
@@ -51,7 +52,7 @@
 #[test]
 fn a_flood_of_new_keys_stays_bounded_and_pushes_out_nobody_known() {
     let mut buckets = Buckets::new(1_000);
-    // Fifty readers who come once a second become known.
+    // Fifty readers who send a request once a second become returning keys.
     let readers: Vec<u64> = (0..50).collect();
     let mut now = S;
     for _ in 0..3 {
@@ -74,13 +75,13 @@
         }
     }
     assert!(through.values().all(|n| *n == 20));
-    // Of the flood no more than its half of the table, each key its burst, and the shared bucket's rate.
+    // The flood gets at most its half of the table, with each key's burst and rate, and the rate of the shared bucket.
     assert!(flood <= 500 * (5 + 20 * 10) + 20 * 10 + 5, "{flood}");
 }
 
 #[test]
 fn no_key_gets_more_than_its_rate_and_burst() {
-    // A table of four keys among which sixty are drawn: eviction must never hand out a fresh burst.
+    // With a table of four keys and sixty keys in use, eviction must never grant another burst.
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut buckets = Buckets::new(4);
@@ -111,7 +112,7 @@
     while buckets.take(S, &[(LIMIT, 1)]).is_ok() {}
     let slower = Limit { rate: 1.0, ..LIMIT };
     assert!(buckets.take(S, &[(slower, 1)]).is_err());
-    // 1.05 s at the new rate, 0.05 s of them not there yet: one token.
+    // 1.05 s at the new rate yield one token; the remaining 0.05 s are not yet a second one.
     assert_eq!((0..9).filter(|_| buckets.take(S + 1_050_000, &[(slower, 1)]).is_ok()).count(), 1);
     buckets.retain_rules(|rule| rule != 1);
     assert!(buckets.take(S + 1_050_000, &[(slower, 1)]).is_err(), "the key's own bucket stays");
--- a/crates/yarrowspoke-expr/tests/common/mod.rs
+++ b/crates/yarrowspoke-expr/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Sets of rules and requests for the tests, not all of which use all of it.
+//! Sets of rules and requests shared by the tests; no test file uses all of them.
 #![allow(dead_code)]
 
 use yarrowspoke_expr::bounds::Bounds;
@@ -37,7 +37,7 @@
     RuleSet::compile(&source(order, whens))
 }
 
-/// Whether a single condition holds.
+/// Returns whether a single condition holds, after checking that all evaluation methods agree.
 pub fn holds(when: &str, request: &Request) -> bool {
     let set = compile(Order::All, &[when]).unwrap_or_else(|f| panic!("{when}: {f:?}"));
     let mut scratch = Scratch::new(&set, 1);
@@ -54,7 +54,7 @@
     !by_index.is_empty()
 }
 
-/// What is said of a condition that is refused.
+/// Returns the first fault of a condition that is rejected.
 pub fn refused(when: &str) -> RuleFault {
     match compile(Order::First, &[when]) {
         Ok(_) => panic!("accepted: {:.60}", when),
--- a/crates/yarrowspoke-expr/tests/hostile.rs
+++ b/crates/yarrowspoke-expr/tests/hostile.rs
@@ -1,4 +1,5 @@
-//! Texts meant to hurt: each is refused plainly, and none overflows the stack, panics or takes long.
+//! Tests with hostile expressions: each is rejected with a clear fault, and none overflows the stack, panics or takes
+//! long.
 
 mod common;
 
@@ -33,7 +34,7 @@
         let fault = refused(&text);
         assert!(!fault.expected.is_empty() && fault.found.len() < 200, "{fault:?}");
     }
-    // What is just deep enough is read.
+    // An expression at the maximum depth is accepted.
     assert!(parse(&deep("(", ")", MAX_DEPTH - 1)).is_ok());
 }
 
@@ -71,12 +72,12 @@
     let fault = refused(&many.join(" || "));
     assert!(fault.found.contains("steps") && fault.found.contains("`path.contains('x"), "{fault:?}");
     assert!(fault.expected.contains("at most 10000 steps"), "{fault:?}");
-    // Each is cheap, all together are not: nothing finds them by a constant.
+    // Each rule is cheap, but all together are not, since no constant indexes them.
     let each: Vec<String> = (0..30).map(|n| format!("path.contains('y{n}')")).collect();
     let each: Vec<&str> = each.iter().map(String::as_str).collect();
     let faults = compile(Order::First, &each).err().unwrap();
     assert!(faults[0].rule.is_none() && faults[0].found.contains("no constant text finds"), "{faults:?}");
-    // Found by a constant, any number of them is cheap.
+    // Rules indexed by a constant are cheap, whatever their number.
     let found: Vec<String> =
         (0..3_000).map(|n| format!("segments[1].orValue('') == 's{n}' && path.contains('y{n}')")).collect();
     let found: Vec<&str> = found.iter().map(String::as_str).collect();
@@ -97,7 +98,7 @@
     let mut scratch = Scratch::new(&set, 1);
     assert_eq!(set.matches_indexed(&mut scratch, &request("/a/s4210/77")), [4210]);
     assert_eq!(set.matches_indexed(&mut scratch, &request("/a/s4210/x")), []);
-    // With less memory allowed it is refused, before all patterns are made.
+    // With a lower memory bound the set is rejected before all patterns are compiled.
     let less = RuleSetSource { bounds: Bounds { max_bytes: 500_000, ..source.bounds }, ..source };
     let faults = RuleSet::compile(&less).err().unwrap();
     assert!(
@@ -106,7 +107,7 @@
     );
 }
 
-/// What the fuzzer found worth keeping, and what was met on the way: nothing of it may panic.
+/// Replays inputs kept from fuzzing and from development; none may panic.
 #[test]
 fn the_corpus_replays() {
     let corpus = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/corpus");
@@ -121,7 +122,7 @@
     assert!(read >= 40, "{read} lines of corpus");
 }
 
-/// Reads a text in every place that takes one, and runs what is accepted.
+/// Parses `text` in every place that takes an expression, and runs what is accepted.
 fn try_all(text: &str) {
     if let Ok(tree) = parse(text) {
         let again = parse(&tree.to_string()).unwrap_or_else(|f| panic!("{text:?} prints as {tree}: {f}"));
--- a/crates/yarrowspoke-expr/tests/language.rs
+++ b/crates/yarrowspoke-expr/tests/language.rs
@@ -1,4 +1,4 @@
-//! What the language means, what it refuses and where it says so.
+//! Tests of the meaning of expressions, and of the faults of invalid ones with their positions.
 
 mod common;
 
@@ -68,7 +68,7 @@
     ] {
         assert!(!holds(when, &r), "{when}");
     }
-    // What is not looked at costs no value.
+    // An operand that is not evaluated cannot fail the expression.
     assert!(holds("true || 1 / length == 0", &r));
     assert!(holds("length == 0 ? true : 1 / length == 0", &r));
 }
--- a/crates/yarrowspoke-expr/tests/sets.rs
+++ b/crates/yarrowspoke-expr/tests/sets.rs
@@ -1,4 +1,4 @@
-//! Sets: which rules count, what they come to, what is reported of them at load.
+//! Tests of sets: which rules apply, how their actions combine, and the faults and warnings at load.
 
 mod common;
 
@@ -96,7 +96,7 @@
     add(RuleActions { at_most_once: true, subject: Some("class".into()), ..named("once") });
     add(RuleActions { subject: Some("path".into()), attempts: Some(4), ..named("safe") });
     let mut set = RuleSet::compile(&set).unwrap();
-    // The last rule would count an effect as safe.
+    // The last rule would treat requests of an at-most-once class as safe.
     assert!(set.bind(&names.deployment()).is_err());
     let deployment =
         Deployment { class_names: &names.classes[..2], classes: &names.facts[..2], ..names.deployment() };
@@ -126,7 +126,8 @@
 
 #[test]
 fn nothing_is_ever_loosened() {
-    // Danger: rule 2. Each class may only be counted as one that is at least as strict, whatever the condition leaves open.
+    // A class may only be treated as one that is at least as strict, whatever the condition leaves open. Otherwise a
+    // request that must not run twice could be repeated.
     let names = Names::new();
     for (when, class, right) in [
         ("class == 'safe'", "other", true),
@@ -205,7 +206,7 @@
         ("repeat", "class == 'a' && repeat", true),
         ("true", "class == 'a'", true),
         ("repeat", "!repeat", false),
-        // It has no value now and then, and then the later one is reached.
+        // The earlier rule sometimes has no value, and then the later one is reached.
         ("1 / length < 5", "1 / length < 5 && repeat", false),
         ("length / 2 < 5", "length / 2 < 5 && repeat", true),
     ] {
