--- a/crates/yarrowspoke-expr/src/buckets.rs
+++ b/crates/yarrowspoke-expr/src/buckets.rs
@@ -1,38 +1,38 @@
-//! Limits by a computed key, in a table of bounded size. This module alone decides on them.
+//! Rate limits by a computed key, in a table of bounded size.
 //!
-//! A bucket holds tokens that come at a rate, up to a burst (the token bucket of RFC 2697's single rate). One that is
-//! full again says nothing that a new one would not, so it can be forgotten: forgetting any other would give its key a
-//! fresh burst. Hence the two rules of the table:
+//! Each limit is a token bucket that refills at a rate up to a burst (as with the single rate of RFC 2697). A full
+//! bucket carries no more information than a new one, so it can be evicted. Evicting any other bucket would grant its
+//! key another burst. The table therefore follows two rules:
 //!
-//! - Only full buckets make room. Where none can, a new key draws on its rule's **shared** bucket, so that no key ever
-//!   gets more than its rate and burst, however many keys a hostile client makes up.
-//! - Keys that come back after their bucket had filled up again become **known**, and half of the table is theirs. Danger:
-//!   without it a flood of new keys would leave those who come every day only the shared bucket.
+//! - Only full buckets are evicted. Where none can be, a new key draws on the **shared** bucket of its rule, so that no
+//!   key ever gets more than its rate and burst, however many keys a hostile client makes up.
+//! - Keys that return after their bucket has filled up again are **returning** keys, for which half of the table is
+//!   reserved. Without it, a flood of new keys would leave regular clients only the shared bucket.
 
 use lru::LruCache;
 use std::collections::HashMap;
 use std::num::NonZeroUsize;
 use yarrowspoke::interface::Micros;
 
-/// Buckets that have gone longest without a request and are looked at for room, each time.
-const LOOKED_AT: usize = 4;
+/// Number of least recently used buckets that are checked for eviction each time.
+const EVICTION_CANDIDATES: usize = 4;
 
-/// A limit as a rule states it.
+/// Limit of a rule.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// The rule, the same number before and after a reload.
+    /// Identifier of the rule, the same before and after a reload.
     pub rule: u64,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Requests at once.
+    /// Requests that may be made at once.
     pub burst: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
-    left: f64,
-    at: Micros,
-    /// Requests turned away since one was last let through.
+    tokens: f64,
+    updated_at: Micros,
+    /// Requests rejected since the bucket was last full, less one for each request admitted since.
     rejected: f64,
     rate: f64,
     burst: f64,
@@ -40,112 +40,113 @@
 
 impl Bucket {
     fn new(now: Micros, limit: &Limit) -> Self {
-        Self { left: limit.burst, at: now, rejected: 0.0, rate: limit.rate, burst: limit.burst }
+        Self { tokens: limit.burst, updated_at: now, rejected: 0.0, rate: limit.rate, burst: limit.burst }
     }
 
-    /// Tokens at a later time. Time that goes backwards brings none.
-    fn later(&self, now: Micros) -> f64 {
-        (self.left + self.rate * now.saturating_sub(self.at) as f64 / 1e6).min(self.burst)
+    /// Returns the tokens at `now`. A clock that goes backwards adds no tokens.
+    fn tokens_at(&self, now: Micros) -> f64 {
+        (self.tokens + self.rate * now.saturating_sub(self.updated_at) as f64 / 1e6).min(self.burst)
     }
 
     fn is_full(&self, now: Micros) -> bool {
-        self.later(now) >= self.burst
+        self.tokens_at(now) >= self.burst
     }
 
     fn refill(&mut self, now: Micros, limit: &Limit) {
-        let left = self.later(now);
-        (self.left, self.at) = (left.min(limit.burst), self.at.max(now));
-        // A reload may state others for the same rule.
+        let tokens = self.tokens_at(now);
+        (self.tokens, self.updated_at) = (tokens.min(limit.burst), self.updated_at.max(now));
+        // A reload may have changed the rate and the burst of the rule.
         (self.rate, self.burst) = (limit.rate, limit.burst);
     }
 
-    /// Time until a token is there for one more than were turned away. Danger: all that are told the same time come back
-    /// together; so each is told a time by which the rate has served those before it.
-    fn wait(&mut self) -> Micros {
-        let missing = (1.0 + self.rejected - self.left).max(0.0);
+    /// Returns the time until there is a token for this request after those already rejected. If all rejected requests
+    /// were given the same time, they would return together; each is given a time by which the rate has served those
+    /// before it.
+    fn next_retry_after(&mut self) -> Micros {
+        let missing = (1.0 + self.rejected - self.tokens).max(0.0);
         self.rejected += 1.0;
         (missing / self.rate * 1e6).min(1e15) as Micros
     }
 }
 
-/// Where a key's bucket is.
+/// Table in which the bucket of a key is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
-    Known,
-    Fresh,
+enum BucketLocation {
+    Returning,
+    New,
     Shared,
 }
 
-/// Counts of what the table did.
+/// Counters of admitted and rejected requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BucketCounts {
-    /// Requests let through.
+    /// Requests admitted.
     pub admitted: u64,
-    /// Requests turned away.
+    /// Requests rejected.
     pub rejected: u64,
-    /// Requests that drew on a shared bucket.
+    /// Times that a shared bucket was used.
     pub shared: u64,
 }
 
-/// All buckets.
+/// Bounded table of the token buckets of all limits.
 pub struct Buckets {
-    known: LruCache<u64, Bucket>,
-    fresh: LruCache<u64, Bucket>,
+    returning: LruCache<u64, Bucket>,
+    new_keys: LruCache<u64, Bucket>,
     shared: HashMap<u64, Bucket>,
-    most: usize,
-    /// What was done since it was last asked.
+    max_keys: usize,
+    /// Counts since they were last taken.
     pub counts: BucketCounts,
 }
 
 impl Buckets {
-    /// An empty table for `most` keys, half of them for known ones.
-    pub fn new(most: usize) -> Self {
-        let half = NonZeroUsize::new(most / 2).unwrap_or(NonZeroUsize::MIN);
+    /// Creates an empty table for `max_keys` keys, half of them for returning keys.
+    pub fn new(max_keys: usize) -> Self {
+        let half = NonZeroUsize::new(max_keys / 2).unwrap_or(NonZeroUsize::MIN);
         Self {
-            known: LruCache::new(half),
-            fresh: LruCache::new(half),
+            returning: LruCache::new(half),
+            new_keys: LruCache::new(half),
             shared: HashMap::new(),
-            most: half.get(),
+            max_keys: half.get(),
             counts: BucketCounts::default(),
         }
     }
 
-    /// Keys in the table.
+    /// Returns the number of keys in the table.
     pub fn keys(&self) -> usize {
-        self.known.len() + self.fresh.len()
+        self.returning.len() + self.new_keys.len()
     }
 
-    /// Takes one token of each of these buckets, or none and tells when to come back. `key` is a hash of the rule and its
-    /// key, by a hash that clients cannot foresee.
-    pub fn take(&mut self, now: Micros, wanted: &[(Limit, u64)]) -> Result<(), Micros> {
-        let mut wait = None;
-        for (limit, key) in wanted {
-            let bucket = self.find(now, limit, *key);
-            if bucket.left < 1.0 {
-                wait = wait.max(Some(bucket.wait()));
+    /// Takes one token from each of the buckets. If any has none left, takes nothing and returns the time after which
+    /// to retry. The key of each limit is a keyed hash of the rule and its key that clients cannot predict.
+    pub fn take(&mut self, now: Micros, limits: &[(Limit, u64)]) -> Result<(), Micros> {
+        let mut retry_after = None;
+        for (limit, key) in limits {
+            let bucket = self.bucket(now, limit, *key);
+            if bucket.tokens < 1.0 {
+                retry_after = retry_after.max(Some(bucket.next_retry_after()));
             }
         }
-        if let Some(wait) = wait {
+        if let Some(retry_after) = retry_after {
             self.counts.rejected += 1;
-            return Err(wait);
+            return Err(retry_after);
         }
-        for (limit, key) in wanted {
-            let bucket = self.find(now, limit, *key);
-            // Two limits of one request may share a bucket that has a single token left: it then goes below 0.
-            bucket.left -= 1.0;
+        for (limit, key) in limits {
+            let bucket = self.bucket(now, limit, *key);
+            // Two limits of one request may share a bucket with a single token left, which then goes below 0.
+            bucket.tokens -= 1.0;
             bucket.rejected = (bucket.rejected - 1.0).max(0.0);
         }
         self.counts.admitted += 1;
         Ok(())
     }
 
-    /// The bucket of a key, filled up to now.
-    fn find(&mut self, now: Micros, limit: &Limit, key: u64) -> &mut Bucket {
-        let place = self.place(now, limit, key);
-        let bucket = match place {
-            Place::Known => self.known.get_mut(&key),
-            Place::Fresh => self.fresh.get_mut(&key),
-            Place::Shared => {
+    /// Returns the bucket of a key, refilled up to `now`.
+    fn bucket(&mut self, now: Micros, limit: &Limit, key: u64) -> &mut Bucket {
+        let location = self.locate(now, limit, key);
+        let bucket = match location {
+            BucketLocation::Returning => self.returning.get_mut(&key),
+            BucketLocation::New => self.new_keys.get_mut(&key),
+            BucketLocation::Shared => {
                 self.counts.shared += 1;
                 None
             }
@@ -155,46 +156,49 @@
             None => self.shared.entry(limit.rule).or_insert_with(|| Bucket::new(now, limit)),
         };
         bucket.refill(now, limit);
-        if bucket.left >= bucket.burst {
+        if bucket.tokens >= bucket.burst {
             bucket.rejected = 0.0;
         }
         bucket
     }
 
-    fn place(&mut self, now: Micros, limit: &Limit, key: u64) -> Place {
-        if self.known.contains(&key) {
-            return Place::Known;
+    fn locate(&mut self, now: Micros, limit: &Limit, key: u64) -> BucketLocation {
+        if self.returning.contains(&key) {
+            return BucketLocation::Returning;
         }
-        if let Some(bucket) = self.fresh.peek(&key).copied() {
-            // It comes back after its bucket had filled up: no flood, but somebody who was here before.
-            let returns = now > bucket.at && bucket.left < bucket.burst && bucket.is_full(now);
-            if returns && Self::room(&mut self.known, self.most, now) {
-                self.fresh.pop(&key);
-                self.known.put(key, bucket);
-                return Place::Known;
+        if let Some(bucket) = self.new_keys.peek(&key).copied() {
+            // The key returns after its bucket has filled up, so it is a regular client and not part of a flood.
+            let returns = now > bucket.updated_at && bucket.tokens < bucket.burst && bucket.is_full(now);
+            if returns && Self::make_room(&mut self.returning, self.max_keys, now) {
+                self.new_keys.pop(&key);
+                self.returning.put(key, bucket);
+                return BucketLocation::Returning;
             }
-            return Place::Fresh;
+            return BucketLocation::New;
         }
-        if Self::room(&mut self.fresh, self.most, now) {
-            // Danger: it may have drawn on the shared bucket before, and a fresh burst would come on top of that.
+        if Self::make_room(&mut self.new_keys, self.max_keys, now) {
+            // The key may have drawn on the shared bucket before. A full new bucket would grant it a burst on top of
+            // that.
             let mut bucket = Bucket::new(now, limit);
-            bucket.left = self.shared.get(&limit.rule).map_or(limit.burst, |s| s.later(now).min(limit.burst));
-            self.fresh.put(key, bucket);
-            return Place::Fresh;
+            bucket.tokens =
+                self.shared.get(&limit.rule).map_or(limit.burst, |s| s.tokens_at(now).min(limit.burst));
+            self.new_keys.put(key, bucket);
+            return BucketLocation::New;
         }
-        Place::Shared
+        BucketLocation::Shared
     }
 
-    /// Whether one more fits, at most at the price of a full bucket that has rested long.
-    fn room(table: &mut LruCache<u64, Bucket>, most: usize, now: Micros) -> bool {
-        if table.len() < most {
+    /// Makes sure that `table` has room for one more key; if needed, evicts a full bucket that was not used recently.
+    /// Returns whether there is room.
+    fn make_room(table: &mut LruCache<u64, Bucket>, max_keys: usize, now: Micros) -> bool {
+        if table.len() < max_keys {
             return true;
         }
-        let full = table.iter().rev().take(LOOKED_AT).find(|b| b.1.is_full(now)).map(|b| *b.0);
+        let full = table.iter().rev().take(EVICTION_CANDIDATES).find(|b| b.1.is_full(now)).map(|b| *b.0);
         full.is_some_and(|key| table.pop(&key).is_some())
     }
 
-    /// Forgets the shared buckets of rules that are no more.
+    /// Removes the shared buckets of rules that no longer exist.
     pub fn retain_rules(&mut self, rules: impl Fn(u64) -> bool) {
         self.shared.retain(|rule, _| rules(*rule));
     }
--- a/crates/yarrowspoke-expr/src/regexes.rs
+++ b/crates/yarrowspoke-expr/src/regexes.rs
@@ -1,7 +1,8 @@
-//! Regular expressions as automata that take one step for each byte, whatever the text.
+//! Regular expressions as automata that take one step per byte, whatever the text.
 //!
-//! The regex crate's own engines run in time that grows with the text times the pattern; its automata, made whole at load,
-//! do not. Their size and the work of making them are bounded, so that nested repeats are refused at once.
+//! The regex crate's own engines take time that grows with the length of the text times that of the pattern; its DFAs,
+//! built completely at load, do not. Their size and the work to build them are bounded, so that nested repetitions are
+//! rejected at once.
 
 use crate::bounds::{MAX_AUTOMATON_BUILD_BYTES, MAX_AUTOMATON_BYTES, MAX_PATTERN_BYTES};
 use regex_automata::dfa::{dense, Automaton, StartKind};
@@ -10,13 +11,13 @@
 use regex_automata::{Anchored, MatchKind};
 use std::collections::HashMap;
 
-/// One pattern, ready to run.
+/// Compiled pattern.
 pub struct Regex {
     automaton: dense::DFA<Vec<u32>>,
 }
 
 impl Regex {
-    /// Makes the automaton; else what is expected of a pattern.
+    /// Builds the automaton. On failure returns a description of the patterns that are accepted.
     pub fn new(pattern: &str) -> Result<Self, String> {
         if pattern.len() > MAX_PATTERN_BYTES {
             return Err(format!("at most {MAX_PATTERN_BYTES} bytes"));
@@ -32,12 +33,12 @@
             .syntax(syntax::Config::new().unicode(false).utf8(false).nest_limit(32))
             .thompson(thompson::Config::new().utf8(false).nfa_size_limit(Some(MAX_AUTOMATON_BUILD_BYTES)))
             .build(pattern)
-            .map_err(|e| told(&e))?;
+            .map_err(|e| expected_pattern(&e))?;
         Ok(Self { automaton })
     }
 
-    /// Whether it matches somewhere in `text`, and how many bytes were looked at.
-    pub fn finds(&self, text: &[u8]) -> (bool, usize) {
+    /// Returns whether the pattern matches anywhere in `text`, and the number of bytes read.
+    pub fn search(&self, text: &[u8]) -> (bool, usize) {
         let dfa = &self.automaton;
         let Ok(mut state) = dfa.start_state(&Start::new().anchored(Anchored::No)) else { return (false, 0) };
         for (n, byte) in text.iter().enumerate() {
@@ -54,13 +55,13 @@
         (dfa.is_match_state(dfa.next_eoi_state(state)), text.len())
     }
 
-    /// Bytes that it takes.
+    /// Returns the size of the automaton in bytes.
     pub fn bytes(&self) -> usize {
         self.automaton.memory_usage()
     }
 }
 
-fn told(e: &dense::BuildError) -> String {
+fn expected_pattern(e: &dense::BuildError) -> String {
     let mut cause: &dyn std::error::Error = e;
     while let Some(inner) = cause.source() {
         cause = inner;
@@ -74,29 +75,29 @@
     }
 }
 
-/// All patterns of a set, each once.
+/// All patterns of a set, without duplicates.
 #[derive(Default)]
 pub struct Regexes {
-    /// The patterns, by number.
+    /// Compiled patterns by index.
     pub all: Vec<Regex>,
-    known: HashMap<String, u32>,
+    numbers: HashMap<String, u32>,
 }
 
 impl Regexes {
-    /// The number of a pattern, known or new.
+    /// Returns the index of a pattern and compiles it if it is new.
     pub fn add(&mut self, pattern: &str) -> Result<u32, String> {
-        if let Some(known) = self.known.get(pattern) {
-            return Ok(*known);
+        if let Some(number) = self.numbers.get(pattern) {
+            return Ok(*number);
         }
         let made = Regex::new(pattern)?;
         self.all.push(made);
         let number = self.all.len() as u32 - 1;
-        self.known.insert(pattern.to_owned(), number);
+        self.numbers.insert(pattern.to_owned(), number);
         Ok(number)
     }
 
-    /// The number of a pattern that was added.
+    /// Returns a pattern that was added before.
     pub fn find(&self, pattern: &str) -> Option<&Regex> {
-        self.known.get(pattern).and_then(|n| self.all.get(*n as usize))
+        self.numbers.get(pattern).and_then(|n| self.all.get(*n as usize))
     }
 }
--- a/crates/yarrowspoke-expr/src/syntax.rs
+++ b/crates/yarrowspoke-expr/src/syntax.rs
@@ -1,66 +1,66 @@
-//! The syntax tree, with the place of every node, and its printing.
+//! Syntax tree with source positions, and its formatting.
 
 use std::fmt;
 
-/// Bytes of the text from which a node was read.
+/// Range of bytes in the source text.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Span {
     /// First byte.
     pub from: usize,
-    /// Byte behind the last one.
+    /// End of the range (exclusive).
     pub to: usize,
 }
 
-/// A node and where it stands.
+/// Node of the syntax tree.
 #[derive(Clone, Debug)]
 pub struct Expr {
-    /// Where it stands.
+    /// Position in the source text.
     pub at: Span,
-    /// What it is.
+    /// Kind of node with its operands.
     pub kind: Kind,
-    /// Levels from it down to its deepest part, itself included.
+    /// Height of the subtree, this node included.
     pub(crate) height: usize,
 }
 
-/// What a node is.
+/// Kind of a node.
 #[derive(Clone, Debug)]
 pub enum Kind {
     /// `true` or `false`.
     Bool(bool),
-    /// A whole number of 64 bits.
+    /// 64-bit integer.
     Int(i64),
-    /// A span of time in microseconds: `250ms`, `2s`, `1m`, `1h`.
+    /// Duration in microseconds: `250ms`, `2s`, `1m`, `1h`.
     Duration(i64),
-    /// A string.
+    /// String.
     Text(String),
     /// `[a, b]`.
     List(Vec<Expr>),
-    /// A field of the request.
+    /// Field of the request.
     Name(String),
     /// `a[b]`.
     Index(Box<Expr>, Box<Expr>),
-    /// `a.f(b)` or `f(a, b)`: the same call, as written in the first or the second way.
+    /// `a.f(b)` or `f(a, b)`: both notations are the same call.
     Call {
-        /// The function.
+        /// Name of the function.
         name: String,
-        /// Its arguments; the receiver first.
+        /// Arguments; the receiver comes first.
         args: Vec<Expr>,
-        /// Written as `a.f(b)`.
+        /// Whether the call was written as `a.f(b)`.
         method: bool,
     },
     /// `!a` or `-a`.
     Unary(Unary, Box<Expr>),
-    /// `a + b` and the like.
+    /// Binary operator, for example `a + b`.
     Binary(Binary, Box<Expr>, Box<Expr>),
     /// `a && b && ...`.
     And(Vec<Expr>),
     /// `a || b || ...`.
     Or(Vec<Expr>),
     /// `a ? b : c`.
-    Choice(Box<[Expr; 3]>),
+    Conditional(Box<[Expr; 3]>),
 }
 
-/// An operator before its operand.
+/// Unary operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Unary {
     /// `!`
@@ -69,7 +69,7 @@
     Neg,
 }
 
-/// An operator between two operands.
+/// Binary operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Binary {
     /// `==`
@@ -99,8 +99,8 @@
 }
 
 impl Binary {
-    /// As it is written.
-    pub fn sign(self) -> &'static str {
+    /// Returns the operator as written in the source.
+    pub fn symbol(self) -> &'static str {
         match self {
             Self::Eq => "==",
             Self::Ne => "!=",
@@ -117,8 +117,8 @@
         }
     }
 
-    /// How strongly it binds; a higher figure binds more strongly.
-    pub fn strength(self) -> u8 {
+    /// Returns the precedence; higher values bind more tightly.
+    pub fn precedence(self) -> u8 {
         match self {
             Self::Eq | Self::Ne | Self::Lt | Self::Le | Self::Gt | Self::Ge | Self::In => 4,
             Self::Add | Self::Sub => 5,
@@ -128,33 +128,33 @@
 }
 
 impl Kind {
-    /// Levels of its deepest part.
+    /// Returns the height of the highest operand.
     fn height(&self) -> usize {
-        let most = |parts: &[Expr]| parts.iter().map(|p| p.height).max().unwrap_or(0);
+        let max_height = |parts: &[Expr]| parts.iter().map(|p| p.height).max().unwrap_or(0);
         match self {
             Self::Bool(_) | Self::Int(_) | Self::Duration(_) | Self::Text(_) | Self::Name(_) => 0,
-            Self::List(parts) | Self::And(parts) | Self::Or(parts) => most(parts),
-            Self::Call { args, .. } => most(args),
+            Self::List(parts) | Self::And(parts) | Self::Or(parts) => max_height(parts),
+            Self::Call { args, .. } => max_height(args),
             Self::Unary(_, a) => a.height,
             Self::Index(a, b) | Self::Binary(_, a, b) => a.height.max(b.height),
-            Self::Choice(parts) => most(parts.as_slice()),
+            Self::Conditional(parts) => max_height(parts.as_slice()),
         }
     }
 }
 
 impl Expr {
-    /// A node.
+    /// Creates a node.
     pub fn new(at: Span, kind: Kind) -> Self {
         let height = kind.height() + 1;
         Self { at, kind, height }
     }
 
-    fn strength(&self) -> u8 {
+    fn precedence(&self) -> u8 {
         match &self.kind {
-            Kind::Choice(_) => 1,
+            Kind::Conditional(_) => 1,
             Kind::Or(_) => 2,
             Kind::And(_) => 3,
-            Kind::Binary(op, ..) => op.strength(),
+            Kind::Binary(op, ..) => op.precedence(),
             Kind::Unary(..) => 7,
             // A negative number is printed with its sign.
             Kind::Int(n) | Kind::Duration(n) if *n < 0 => 7,
@@ -162,78 +162,78 @@
         }
     }
 
-    fn put(&self, f: &mut fmt::Formatter<'_>, least: u8) -> fmt::Result {
-        if self.strength() < least {
+    fn write_expr(&self, f: &mut fmt::Formatter<'_>, min_precedence: u8) -> fmt::Result {
+        if self.precedence() < min_precedence {
             f.write_str("(")?;
-            self.put(f, 0)?;
+            self.write_expr(f, 0)?;
             return f.write_str(")");
         }
-        let list = |f: &mut fmt::Formatter<'_>, parts: &[Expr], sign: &str, least: u8| {
+        let write_list = |f: &mut fmt::Formatter<'_>, parts: &[Expr], sign: &str, min_precedence: u8| {
             for (n, part) in parts.iter().enumerate() {
                 if n > 0 {
                     f.write_str(sign)?;
                 }
-                part.put(f, least)?;
+                part.write_expr(f, min_precedence)?;
             }
             Ok(())
         };
         match &self.kind {
             Kind::Bool(b) => write!(f, "{b}"),
             Kind::Int(n) => write!(f, "{n}"),
-            Kind::Duration(us) => put_duration(f, *us),
-            Kind::Text(t) => put_text(f, t),
+            Kind::Duration(us) => write_duration(f, *us),
+            Kind::Text(t) => write_text(f, t),
             Kind::Name(n) => f.write_str(n),
             Kind::List(parts) => {
                 f.write_str("[")?;
-                list(f, parts, ", ", 0)?;
+                write_list(f, parts, ", ", 0)?;
                 f.write_str("]")
             }
             Kind::Index(of, at) => {
-                of.put(f, 8)?;
+                of.write_expr(f, 8)?;
                 f.write_str("[")?;
-                at.put(f, 0)?;
+                at.write_expr(f, 0)?;
                 f.write_str("]")
             }
             Kind::Call { name, args, method } => {
                 let rest = match args.split_first() {
                     Some((first, rest)) if *method => {
-                        first.put(f, 8)?;
+                        first.write_expr(f, 8)?;
                         f.write_str(".")?;
                         rest
                     }
                     _ => args,
                 };
                 write!(f, "{name}(")?;
-                list(f, rest, ", ", 0)?;
+                write_list(f, rest, ", ", 0)?;
                 f.write_str(")")
             }
             Kind::Unary(op, of) => {
                 f.write_str(if *op == Unary::Not { "!" } else { "-" })?;
-                // Without brackets round a further sign: they would count as a level of nesting more.
-                of.put(f, 7)
+                // The operand gets no parentheses around another sign, because they would add a level of nesting.
+                of.write_expr(f, 7)
             }
             Kind::Binary(op, a, b) => {
-                let s = op.strength();
-                // Comparisons do not chain, and the others group to the left.
-                a.put(f, if s == 4 { s + 1 } else { s })?;
-                write!(f, " {} ", op.sign())?;
-                b.put(f, s + 1)
+                let s = op.precedence();
+                // Comparisons do not chain; the other operators are left-associative.
+                a.write_expr(f, if s == 4 { s + 1 } else { s })?;
+                write!(f, " {} ", op.symbol())?;
+                b.write_expr(f, s + 1)
             }
-            Kind::And(parts) => list(f, parts, " && ", 4),
-            Kind::Or(parts) => list(f, parts, " || ", 3),
-            Kind::Choice(parts) => {
-                parts[0].put(f, 2)?;
+            Kind::And(parts) => write_list(f, parts, " && ", 4),
+            Kind::Or(parts) => write_list(f, parts, " || ", 3),
+            Kind::Conditional(parts) => {
+                parts[0].write_expr(f, 2)?;
                 f.write_str(" ? ")?;
-                parts[1].put(f, 1)?;
+                parts[1].write_expr(f, 1)?;
                 f.write_str(" : ")?;
-                parts[2].put(f, 1)
+                parts[2].write_expr(f, 1)
             }
         }
     }
 }
 
-/// A span of time as the language writes it.
-pub fn put_duration(f: &mut impl fmt::Write, us: i64) -> fmt::Result {
+/// Writes a duration in the notation of the language.
+pub fn write_duration(f: &mut impl fmt::Write, us: i64) -> fmt::Result {
     for (unit, of) in [("h", 3_600_000_000), ("m", 60_000_000), ("s", 1_000_000), ("ms", 1_000)] {
         if us != 0 && us % of == 0 {
             return write!(f, "{}{unit}", us / of);
@@ -242,8 +242,8 @@
     write!(f, "{us}us")
 }
 
-/// A string as the language writes it.
-pub fn put_text(f: &mut impl fmt::Write, text: &str) -> fmt::Result {
+/// Writes a string literal of the language.
+pub fn write_text(f: &mut impl fmt::Write, text: &str) -> fmt::Result {
     f.write_char('\'')?;
     for c in text.chars() {
         match c {
@@ -260,23 +260,23 @@
 
 impl fmt::Display for Expr {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.put(f, 0)
+        self.write_expr(f, 0)
     }
 }
 
-/// Why an expression cannot be used.
+/// Error in an expression.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Where.
+    /// Position in the source text.
     pub at: Span,
-    /// What stands there.
+    /// What was found.
     pub found: String,
     /// What was expected.
     pub expected: String,
 }
 
 impl Fault {
-    /// A fault of what stands at `at`.
+    /// Creates a fault at position `at`.
     pub fn new(at: Span, found: impl fmt::Display, expected: impl fmt::Display) -> Self {
         Self { at, found: found.to_string(), expected: expected.to_string() }
     }
--- a/crates/yarrowspoke-expr/src/terms.rs
+++ b/crates/yarrowspoke-expr/src/terms.rs
@@ -1,46 +1,46 @@
-//! Typed terms, each kept once however many rules hold it.
+//! Typed terms, interned so that a term shared by several rules is stored once.
 
 use crate::bounds::{self, Bounds, MAX_BUILT_BYTES, MAX_METHOD_BYTES, MAX_NAME_BYTES};
-use crate::syntax::{put_duration, put_text};
+use crate::syntax::{write_duration, write_text};
 use std::collections::HashMap;
 use std::fmt;
 use std::sync::Arc;
 
-/// A term's number in its pool.
+/// Index of a term in its pool.
 pub type TermId = u32;
 
-/// Types of optional values and of list entries.
+/// Types of scalar values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Basic {
-    /// A whole number.
+pub enum ScalarType {
+    /// Integer.
     Int,
-    /// A span of time.
+    /// Duration.
     Duration,
-    /// A string.
+    /// String.
     Text,
 }
 
-/// Types of values.
+/// Types of expressions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Type {
     /// `true` or `false`.
     Bool,
-    /// A value that is there.
-    Plain(Basic),
-    /// A value that may not be there.
-    Maybe(Basic),
-    /// The path's segments: a list of strings.
+    /// Value that is always present.
+    Present(ScalarType),
+    /// Value that may be absent.
+    Optional(ScalarType),
+    /// Path segments: a list of strings.
     Segments,
 }
 
-/// The type of strings.
-pub const TEXT: Type = Type::Plain(Basic::Text);
-/// The type of whole numbers.
-pub const INT: Type = Type::Plain(Basic::Int);
-/// The type of spans of time.
-pub const DURATION: Type = Type::Plain(Basic::Duration);
+/// Type of strings.
+pub const TEXT: Type = Type::Present(ScalarType::Text);
+/// Type of integers.
+pub const INT: Type = Type::Present(ScalarType::Int);
+/// Type of durations.
+pub const DURATION: Type = Type::Present(ScalarType::Duration);
 
-impl fmt::Display for Basic {
+impl fmt::Display for ScalarType {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Int => "int",
@@ -54,35 +54,35 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Bool => f.write_str("bool"),
-            Self::Plain(b) => write!(f, "{b}"),
-            Self::Maybe(b) => write!(f, "optional {b}"),
+            Self::Present(b) => write!(f, "{b}"),
+            Self::Optional(b) => write!(f, "optional {b}"),
             Self::Segments => f.write_str("list of string"),
         }
     }
 }
 
-/// A field of a request.
+/// Field of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Field {
-    /// The method.
+    /// Method.
     Method,
-    /// The target up to its `?`.
+    /// Target up to its `?`.
     Path,
     /// Path and query.
     Target,
-    /// The class.
+    /// Name of the class.
     Class,
-    /// The tenant, empty if none that the settings name.
+    /// Name of the tenant; empty if the settings do not name it.
     Tenant,
-    /// The subject: the query parameter `key`.
+    /// Subject: the query parameter `key`.
     Key,
-    /// How long the client waits.
+    /// Time that the client waits for the response.
     Budget,
-    /// The client's guess at the work.
+    /// Estimate of the work by the client.
     Hint,
-    /// Marked as a repeat.
+    /// Whether the client marked the request as a retry.
     Repeat,
-    /// Bytes of the body.
+    /// Length of the body in bytes.
     Length,
 }
 
@@ -93,25 +93,25 @@
     ("target", Field::Target, TEXT),
     ("class", Field::Class, TEXT),
     ("tenant", Field::Tenant, TEXT),
-    ("key", Field::Key, Type::Maybe(Basic::Text)),
+    ("key", Field::Key, Type::Optional(ScalarType::Text)),
     ("budget", Field::Budget, DURATION),
-    ("hint", Field::Hint, Type::Maybe(Basic::Duration)),
+    ("hint", Field::Hint, Type::Optional(ScalarType::Duration)),
     ("repeat", Field::Repeat, Type::Bool),
     ("length", Field::Length, INT),
 ];
 
-/// A constant in a list.
+/// Constant in a list.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Const {
-    /// A whole number, or a span of time in microseconds.
+    /// Integer, or duration in microseconds.
     Int(i64),
-    /// A string.
+    /// String.
     Text(Arc<str>),
 }
 
-/// An operator between numbers.
+/// Arithmetic operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Math {
+pub enum ArithmeticOp {
     /// `+`
     Add,
     /// `-`
@@ -124,9 +124,9 @@
     Rem,
 }
 
-impl Math {
-    /// The result, if there is one: none on overflow and on division by zero.
-    pub fn of(self, a: i64, b: i64) -> Option<i64> {
+impl ArithmeticOp {
+    /// Applies the operator. Returns `None` on overflow and on division by zero.
+    pub fn apply(self, a: i64, b: i64) -> Option<i64> {
         match self {
             Self::Add => a.checked_add(b),
             Self::Sub => a.checked_sub(b),
@@ -137,37 +137,37 @@
     }
 }
 
-/// A test of one text by another.
+/// Test of one text against another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Affix {
+pub enum TextTest {
     /// `startsWith`
-    Starts,
+    StartsWith,
     /// `endsWith`
-    Ends,
+    EndsWith,
     /// `contains`
-    Holds,
+    Contains,
 }
 
-/// A typed term. Operands are of the types that the checker saw to.
+/// Typed term. The type checker has verified the types of the operands.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Term {
-    /// A constant.
+    /// Boolean constant.
     Bool(bool),
-    /// A number, or microseconds.
-    Int(i64, Basic),
-    /// A string.
+    /// Integer, or duration in microseconds.
+    Int(i64, ScalarType),
+    /// String.
     Text(Arc<str>),
-    /// A field.
+    /// Field of the request.
     Field(Field),
-    /// The header read in this place.
+    /// Header by its index in [`Pool::headers`].
     Header(u16),
-    /// The first query parameter of this name.
+    /// First query parameter of this name.
     Query(Arc<str>),
-    /// A path segment by its number.
+    /// Path segment by its index.
     Segment(u8),
-    /// How many segments there are.
+    /// Number of path segments.
     SegmentCount,
-    /// Two values of one type are the same.
+    /// Equality of two values of one type.
     Eq(TermId, TermId),
     /// `a < b`
     Less(TermId, TermId),
@@ -175,91 +175,91 @@
     LessEq(TermId, TermId),
     /// `!a`
     Not(TermId),
-    /// All hold; the rest is not looked at after one that does not.
+    /// Conjunction; evaluation stops at the first operand that is false.
     And(Vec<TermId>),
-    /// One holds.
+    /// Disjunction; evaluation stops at the first operand that is true.
     Or(Vec<TermId>),
     /// `a ? b : c`
-    Choice(TermId, TermId, TermId),
+    Conditional(TermId, TermId, TermId),
     /// Arithmetic.
-    Math(Math, TermId, TermId),
-    /// Strings joined.
+    Arithmetic(ArithmeticOp, TermId, TermId),
+    /// Concatenation of strings.
     Concat(Vec<TermId>),
-    /// A test of one text by another.
-    Affix(Affix, TermId, TermId),
-    /// A regular expression matches somewhere.
+    /// Test of one text against another.
+    TextTest(TextTest, TermId, TermId),
+    /// Whether a regular expression matches anywhere in the text.
     Matches(TermId, u32),
-    /// Bytes of a text.
+    /// Length of a text in bytes.
     Size(TermId),
-    /// It is one of these.
+    /// Whether the value is one of the constants.
     OneOf(TermId, Arc<[Const]>),
-    /// A segment is this text.
+    /// Whether a path segment equals the text.
     InSegments(TermId),
-    /// The value is there.
+    /// Whether an optional value is present.
     Has(TermId),
-    /// The value, or another if it is not there.
+    /// An optional value, or another one if it is absent.
     OrValue(TermId, TermId),
-    /// A hash, from 0 up.
+    /// Non-negative hash of a text.
     Hash(TermId),
-    /// A text read as a number.
+    /// Text parsed as an integer.
     ToInt(TermId),
-    /// A text with its ASCII letters in lower case.
-    Lower(TermId),
+    /// Text with ASCII letters in lower case.
+    LowerAscii(TermId),
 }
 
-/// What the pool knows of a term.
+/// Type, sizes and costs of a term.
 #[derive(Clone, Copy, Debug)]
 pub struct Facts {
-    /// Its type.
+    /// Type of the value.
     pub ty: Type,
-    /// Most bytes of a text.
-    pub most: usize,
-    /// Most steps of its own operation.
-    pub own: u64,
-    /// Most steps of it with all its parts.
-    pub whole: u64,
-    /// Bytes that it may build, with all its parts.
-    pub builds: usize,
+    /// Maximum length in bytes if the value is a text.
+    pub max_bytes: usize,
+    /// Maximum number of steps of the operation itself.
+    pub own_cost: u64,
+    /// Maximum number of steps including all operands.
+    pub total_cost: u64,
+    /// Maximum bytes of the strings built, including all operands.
+    pub built_bytes: usize,
 }
 
 /// All terms of a set.
 pub struct Pool {
-    /// Bounds of what requests hold.
+    /// Bounds on the sizes of requests.
     pub bounds: Bounds,
     terms: Vec<Term>,
     facts: Vec<Facts>,
     ids: HashMap<Term, TermId>,
-    /// Headers that terms read, in lower case.
+    /// Names in lower case of the headers that terms read.
     pub headers: Vec<String>,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(bounds: Bounds) -> Self {
         Self { bounds, terms: Vec::new(), facts: Vec::new(), ids: HashMap::new(), headers: Vec::new() }
     }
 
-    /// The term of this number.
+    /// Returns the term with this index.
     pub fn term(&self, id: TermId) -> &Term {
         &self.terms[id as usize]
     }
 
-    /// What is known of it.
+    /// Returns the facts of a term.
     pub fn facts(&self, id: TermId) -> &Facts {
         &self.facts[id as usize]
     }
 
-    /// How many terms there are.
+    /// Returns the number of terms.
     pub fn terms(&self) -> usize {
         self.terms.len()
     }
 
-    /// The number of a term, known or new.
+    /// Returns the index of a term and adds it if it is new.
     pub fn add(&mut self, term: Term) -> TermId {
         if let Some(id) = self.ids.get(&term) {
             return *id;
         }
-        let facts = self.learn(&term);
+        let facts = self.compute_facts(&term);
         let id = self.terms.len() as TermId;
         self.ids.insert(term.clone(), id);
         self.terms.push(term);
@@ -267,121 +267,138 @@
         id
     }
 
-    /// Terms of which this one is made.
-    pub fn parts(&self, id: TermId) -> Vec<TermId> {
-        parts_of(self.term(id))
+    /// Returns the operands of a term.
+    pub fn operands(&self, id: TermId) -> Vec<TermId> {
+        operands_of(self.term(id))
     }
 
-    /// A term's type, sizes and prices, from those of its parts.
-    fn learn(&self, term: &Term) -> Facts {
-        let f = |id: &TermId| &self.facts[*id as usize];
-        let most = |id: &TermId| f(id).most;
-        let Bounds { max_target_bytes: target, max_header_bytes: header, .. } = self.bounds;
-        let (ty, bytes, own, builds) = match term {
+    /// Computes the facts of a term from those of its operands.
+    fn compute_facts(&self, term: &Term) -> Facts {
+        let facts_of = |id: &TermId| &self.facts[*id as usize];
+        let max_bytes = |id: &TermId| facts_of(id).max_bytes;
+        let Bounds { max_target_bytes, max_header_bytes, .. } = self.bounds;
+        let (ty, bytes, own_cost, built_bytes) = match term {
             Term::Bool(_) => (Type::Bool, 0, 1, 0),
-            Term::Int(_, basic) => (Type::Plain(*basic), 0, 1, 0),
+            Term::Int(_, scalar) => (Type::Present(*scalar), 0, 1, 0),
             Term::Text(t) => (TEXT, t.len(), 1, 0),
             Term::Field(field) => {
                 let ty = FIELDS.iter().find(|x| x.1 == *field).map_or(TEXT, |x| x.2);
                 let bytes = match field {
                     Field::Method => MAX_METHOD_BYTES,
-                    Field::Path | Field::Target | Field::Key => target,
+                    Field::Path | Field::Target | Field::Key => max_target_bytes,
                     Field::Class | Field::Tenant => MAX_NAME_BYTES,
                     _ => 0,
                 };
-                (ty, bytes, if *field == Field::Key { bounds::scan(target) } else { 1 }, 0)
+                (ty, bytes, if *field == Field::Key { bounds::scan_cost(max_target_bytes) } else { 1 }, 0)
             }
-            Term::Header(_) => (Type::Maybe(Basic::Text), header, 1, 0),
-            Term::Query(_) => (Type::Maybe(Basic::Text), target, bounds::scan(target), 0),
-            Term::Segment(_) => (Type::Maybe(Basic::Text), target, 1, 0),
+            Term::Header(_) => (Type::Optional(ScalarType::Text), max_header_bytes, 1, 0),
+            Term::Query(_) => {
+                (Type::Optional(ScalarType::Text), max_target_bytes, bounds::scan_cost(max_target_bytes), 0)
+            }
+            Term::Segment(_) => (Type::Optional(ScalarType::Text), max_target_bytes, 1, 0),
             Term::SegmentCount => (INT, 0, 1, 0),
-            Term::Eq(a, b) => (Type::Bool, 0, bounds::compare(most(a), most(b)), 0),
-            Term::Less(a, b) | Term::LessEq(a, b) => (Type::Bool, 0, bounds::compare(most(a), most(b)), 0),
+            Term::Eq(a, b) => (Type::Bool, 0, bounds::compare_cost(max_bytes(a), max_bytes(b)), 0),
+            Term::Less(a, b) | Term::LessEq(a, b) => {
+                (Type::Bool, 0, bounds::compare_cost(max_bytes(a), max_bytes(b)), 0)
+            }
             Term::Not(_) => (Type::Bool, 0, 1, 0),
-            // One jump behind each part but the last.
+            // One jump follows each operand but the last.
             Term::And(parts) | Term::Or(parts) => (Type::Bool, 0, parts.len() as u64 - 1, 0),
-            Term::Choice(_, b, c) => (f(b).ty, most(b).max(most(c)), 2, 0),
-            Term::Math(_, a, _) => (f(a).ty, 0, 1, 0),
+            Term::Conditional(_, b, c) => (facts_of(b).ty, max_bytes(b).max(max_bytes(c)), 2, 0),
+            Term::Arithmetic(_, a, _) => (facts_of(a).ty, 0, 1, 0),
             Term::Concat(parts) => {
-                let bytes = parts.iter().map(most).sum();
-                (TEXT, bytes, parts.len() as u64 + bounds::chunks(bytes), bytes)
+                let bytes = parts.iter().map(max_bytes).sum();
+                (TEXT, bytes, parts.len() as u64 + bounds::copy_cost(bytes), bytes)
             }
-            Term::Affix(Affix::Holds, a, b) => (Type::Bool, 0, bounds::scan(most(a) + most(b)), 0),
-            Term::Affix(_, a, b) => (Type::Bool, 0, bounds::compare(most(a), most(b)), 0),
-            Term::Matches(a, _) => (Type::Bool, 0, bounds::scan(most(a)), 0),
+            Term::TextTest(TextTest::Contains, a, b) => {
+                (Type::Bool, 0, bounds::scan_cost(max_bytes(a) + max_bytes(b)), 0)
+            }
+            Term::TextTest(_, a, b) => (Type::Bool, 0, bounds::compare_cost(max_bytes(a), max_bytes(b)), 0),
+            Term::Matches(a, _) => (Type::Bool, 0, bounds::scan_cost(max_bytes(a)), 0),
             Term::Size(_) => (INT, 0, 1, 0),
             Term::OneOf(a, all) => {
                 let longest = all.iter().map(|c| if let Const::Text(t) = c { t.len() } else { 0 });
                 let longest = longest.max().unwrap_or(0);
-                (Type::Bool, 0, bounds::search(all.len(), longest, most(a)), 0)
+                (Type::Bool, 0, bounds::search_cost(all.len(), longest, max_bytes(a)), 0)
+            }
+            Term::InSegments(a) => {
+                (Type::Bool, 0, 2 * bounds::scan_cost(max_target_bytes) + bounds::copy_cost(max_bytes(a)), 0)
             }
-            Term::InSegments(a) => (Type::Bool, 0, 2 * bounds::scan(target) + bounds::chunks(most(a)), 0),
             Term::Has(_) => (Type::Bool, 0, 1, 0),
-            // Two jumps round the value that stands in.
+            // Two jumps surround the fallback value.
             Term::OrValue(a, b) => {
-                let ty = if let Type::Maybe(basic) = f(a).ty { Type::Plain(basic) } else { f(a).ty };
-                (ty, most(a).max(most(b)), 1, 0)
+                let ty = if let Type::Optional(scalar) = facts_of(a).ty {
+                    Type::Present(scalar)
+                } else {
+                    facts_of(a).ty
+                };
+                (ty, max_bytes(a).max(max_bytes(b)), 1, 0)
+            }
+            Term::Hash(a) => (INT, 0, bounds::lookup_cost(max_bytes(a)), 0),
+            Term::ToInt(_) => {
+                (Type::Optional(ScalarType::Int), 0, bounds::scan_cost(bounds::MAX_INT_BYTES), 0)
             }
-            Term::Hash(a) => (INT, 0, bounds::lookup(most(a)), 0),
-            Term::ToInt(_) => (Type::Maybe(Basic::Int), 0, bounds::scan(bounds::MAX_INT_BYTES), 0),
-            Term::Lower(a) => (TEXT, most(a), bounds::scan(most(a)), most(a)),
+            Term::LowerAscii(a) => (TEXT, max_bytes(a), bounds::scan_cost(max_bytes(a)), max_bytes(a)),
         };
-        let parts = parts_of(term);
-        let whole = own + parts.iter().map(|p| f(p).whole).sum::<u64>();
-        let builds = builds + parts.iter().map(|p| f(p).builds).sum::<usize>();
-        Facts { ty, most: bytes, own, whole, builds }
+        let parts = operands_of(term);
+        let total_cost = own_cost + parts.iter().map(|p| facts_of(p).total_cost).sum::<u64>();
+        let built_bytes = built_bytes + parts.iter().map(|p| facts_of(p).built_bytes).sum::<usize>();
+        Facts { ty, max_bytes: bytes, own_cost, total_cost, built_bytes }
     }
 
-    /// Whether a built text stays within its bound.
-    pub fn fits(&self, id: TermId) -> bool {
-        self.facts(id).builds <= MAX_BUILT_BYTES
+    /// Returns whether the strings built for a term keep within [`MAX_BUILT_BYTES`].
+    pub fn built_text_fits(&self, id: TermId) -> bool {
+        self.facts(id).built_bytes <= MAX_BUILT_BYTES
     }
 
-    /// A term as the language would write it, as far as it has a text of its own.
-    pub fn put(&self, id: TermId) -> String {
+    /// Formats a term in the notation of the language if it is a simple one.
+    pub fn describe(&self, id: TermId) -> String {
         let mut out = String::new();
         let _ = match self.term(id) {
             Term::Bool(b) => fmt::Write::write_fmt(&mut out, format_args!("{b}")),
-            Term::Int(n, Basic::Duration) => put_duration(&mut out, *n),
+            Term::Int(n, ScalarType::Duration) => write_duration(&mut out, *n),
             Term::Int(n, _) => fmt::Write::write_fmt(&mut out, format_args!("{n}")),
-            Term::Text(t) => put_text(&mut out, t),
+            Term::Text(t) => write_text(&mut out, t),
             Term::Field(field) => {
                 out += FIELDS.iter().find(|x| x.1 == *field).map_or("", |x| x.0);
                 Ok(())
             }
             Term::Header(n) => {
                 out += "headers[";
-                let put = put_text(&mut out, &self.headers[usize::from(*n)]);
+                let put = write_text(&mut out, &self.headers[usize::from(*n)]);
                 out += "]";
                 put
             }
             Term::Query(name) => {
                 out += "query[";
-                let put = put_text(&mut out, name);
+                let put = write_text(&mut out, name);
                 out += "]";
                 put
             }
             Term::Segment(n) => fmt::Write::write_fmt(&mut out, format_args!("segments[{n}]")),
-            Term::OrValue(a, b) => {
-                fmt::Write::write_fmt(&mut out, format_args!("{}.orValue({})", self.put(*a), self.put(*b)))
+            Term::OrValue(a, b) => fmt::Write::write_fmt(
+                &mut out,
+                format_args!("{}.orValue({})", self.describe(*a), self.describe(*b)),
+            ),
+            Term::LowerAscii(a) => {
+                fmt::Write::write_fmt(&mut out, format_args!("{}.lowerAscii()", self.describe(*a)))
             }
-            Term::Lower(a) => fmt::Write::write_fmt(&mut out, format_args!("{}.lowerAscii()", self.put(*a))),
             _ => fmt::Write::write_fmt(&mut out, format_args!("a value made of several parts")),
         };
         out
     }
 }
 
-/// Terms of which one is made.
-fn parts_of(term: &Term) -> Vec<TermId> {
+/// Returns the operands of a term.
+fn operands_of(term: &Term) -> Vec<TermId> {
     match term {
         Term::Bool(_) | Term::Int(..) | Term::Text(_) | Term::Field(_) => vec![],
         Term::Header(_) | Term::Query(_) | Term::Segment(_) | Term::SegmentCount => vec![],
         Term::Eq(a, b) | Term::Less(a, b) | Term::LessEq(a, b) => vec![*a, *b],
-        Term::Math(_, a, b) | Term::Affix(_, a, b) | Term::OrValue(a, b) => vec![*a, *b],
+        Term::Arithmetic(_, a, b) | Term::TextTest(_, a, b) | Term::OrValue(a, b) => vec![*a, *b],
         Term::And(parts) | Term::Or(parts) | Term::Concat(parts) => parts.clone(),
-        Term::Choice(a, b, c) => vec![*a, *b, *c],
+        Term::Conditional(a, b, c) => vec![*a, *b, *c],
         Term::Not(a) | Term::Matches(a, _) | Term::Size(a) | Term::OneOf(a, _) => vec![*a],
-        Term::InSegments(a) | Term::Has(a) | Term::Hash(a) | Term::ToInt(a) | Term::Lower(a) => vec![*a],
+        Term::InSegments(a) | Term::Has(a) | Term::Hash(a) | Term::ToInt(a) | Term::LowerAscii(a) => vec![*a],
     }
 }
