--- a/crates/yarrowspoke-lab/src/scale/at_size.rs
+++ b/crates/yarrowspoke-lab/src/scale/at_size.rs
@@ -23,7 +23,7 @@
 
 /// What carries control with the form `paced`.
 pub(super) const PACED: &str =
-    "heartbeats at a pace, snapshot and delta (yarrowspoke-fleet/src/pace.rs, delta.rs)";
+    "heartbeats at a pace, snapshot and delta (yarrowspoke-fleet/src/heartbeat_schedule.rs, delta.rs)";
 
 /// Changes of the list a second in the busiest hour.
 pub fn changes_per_s() -> f64 {
@@ -208,7 +208,7 @@
         ("front", "control, resident memory of the list", "MB"),
         terms,
         (1.0, Some((Budget::FrontMemory, target::FRONT_MB))),
-        "endpoint snapshot held whole (yarrowspoke-front/src/member.rs)",
+        "endpoint snapshot held whole (yarrowspoke-front/src/fleet_member.rs)",
     );
 
     let (request, timer) = ("decision module: a request with its end", "decision module: its timer");
@@ -236,7 +236,7 @@
         ("front", "decision module, resident memory", "MB"),
         terms,
         (1.0, None),
-        "endpoint snapshot held whole (yarrowspoke/src/books.rs)",
+        "endpoint snapshot held whole (yarrowspoke/src/accounting.rs)",
     );
     let terms = vec![term(
         seen,
@@ -249,7 +249,7 @@
         ("front", "decision module, a request among all tenants, 600 machines", "us"),
         terms,
         (1.0, None),
-        "token bucket a tenant (yarrowspoke/src/books.rs)",
+        "token bucket a tenant (yarrowspoke/src/accounting.rs)",
     );
     let terms =
         vec![term(seen, of("decision module: resident memory, 600 machines"), target::TENANTS as f64, 1.0)];
@@ -258,7 +258,7 @@
         ("front", "decision module, resident memory with all tenants, 600 machines", "MB"),
         terms,
         (1.0, None),
-        "token bucket a tenant (yarrowspoke/src/books.rs)",
+        "token bucket a tenant (yarrowspoke/src/accounting.rs)",
     );
 
     let terms = vec![term(seen, ("discovery", "the whole list"), machines, 1.0)];
@@ -370,7 +370,7 @@
         ("planner", "a day's record", "MB"),
         terms,
         (1.0, Some((Budget::Program, mb))),
-        "retention by size, oldest evicted first (yarrowspoke-fleet/src/book.rs); missing: compaction",
+        "retention by size, oldest evicted first (yarrowspoke-fleet/src/report_log.rs); missing: compaction",
     );
     let terms = vec![term(seen, of("its record, resident, 20 machines a span"), spans, 1.0)];
     row(
@@ -378,7 +378,7 @@
         ("planner", "a full record, resident", "MB"),
         terms,
         (1.0, None),
-        "retention by size (yarrowspoke-fleet/src/book.rs)",
+        "retention by size (yarrowspoke-fleet/src/report_log.rs)",
     );
     // Two years in which each front is taken out once a day.
     let orders = 730.0 * fronts;
@@ -388,7 +388,7 @@
         ("planner", "agreed log on disk after two years, each front out once a day", "MB"),
         terms,
         (1e-6, None),
-        "missing: log compaction by snapshot (yarrowspoke-front/src/agree.rs)",
+        "missing: log compaction by snapshot (yarrowspoke-front/src/agreed_log.rs)",
     );
     let terms = vec![term(seen, of("agreed log in memory"), orders, 1.0)];
     row(
@@ -396,7 +396,7 @@
         ("planner", "agreed log in memory after two years", "MB"),
         terms,
         (1.0, None),
-        "missing: log compaction by snapshot (yarrowspoke-front/src/agree.rs)",
+        "missing: log compaction by snapshot (yarrowspoke-front/src/agreed_log.rs)",
     );
 }
 
--- a/crates/yarrowspoke-lab/src/scale/control.rs
+++ b/crates/yarrowspoke-lab/src/scale/control.rs
@@ -481,7 +481,9 @@
     let to = Forward { points: &points, size: target::FRONTS as f64, over: &over };
     let heartbeat = match seen.paced {
         true => PACED,
-        false => "lease renewal by heartbeat, each front at each planner (yarrowspoke-front/src/member.rs)",
+        false => {
+            "lease renewal by heartbeat, each front at each planner (yarrowspoke-front/src/fleet_member.rs)"
+        }
     };
     let growth = to.value(|p| p.planner_growth);
     let minutes = target::MEMORY_LIMIT_MB / growth.max(f64::MIN_POSITIVE);
@@ -524,7 +526,7 @@
             ),
             |p| p.planner_growth,
         ),
-        "record bounded by keep-bytes (yarrowspoke-fleet/src/book.rs)",
+        "record bounded by keep-bytes (yarrowspoke-fleet/src/report_log.rs)",
     );
     Ok(common)
 }
@@ -583,7 +585,7 @@
         ("front", "control cpu, hollow front, the whole list, no change of it", "core"),
         (to.value(|p| p.front_core), Some((Budget::ControlCore, target::CONTROL_CORE))),
         to.told("its own time", |p| p.front_core),
-        "all rows looked through at each renewal (yarrowspoke-front/src/member.rs)",
+        "all rows looked through at each renewal (yarrowspoke-front/src/fleet_member.rs)",
     );
     Ok(())
 }
