--- a/crates/yarrowspoke-front/src/fleet_member.rs
+++ b/crates/yarrowspoke-front/src/fleet_member.rs
@@ -385,7 +385,7 @@
                 connection = None;
                 if logged_at.is_none_or(|at| at.elapsed() > UNREACHABLE_LOG_INTERVAL) {
                     logged_at = Some(Instant::now());
-                    log::warn!(planner = name.as_str(), why = why.as_str(); "fleet: planner did not answer");
+                    log::warn!(planner = name.as_str(), why = why.as_str(); "fleet: heartbeat to a planner failed");
                 }
             }
         }
--- a/crates/yarrowspoke-front/src/planner.rs
+++ b/crates/yarrowspoke-front/src/planner.rs
@@ -468,7 +468,7 @@
                 }
             },
             Some(Err(e)) => {
-                log::debug!(planner = other.as_str(), why:% = e; "fleet: planner did not answer a pull")
+                log::debug!(planner = other.as_str(), why:% = e; "fleet: pull from a planner failed")
             }
             None => connection = None,
         }
