--- a/crates/yarrowspoke-expr/src/check.rs
+++ b/crates/yarrowspoke-expr/src/check.rs
@@ -192,7 +192,7 @@
             }
             "matches" => {
                 expect_args(2)?;
-                let of = self.check(&args[0], TEXT)?;
+                let operand = self.check(&args[0], TEXT)?;
                 let Kind::Text(pattern) = &args[1].kind else {
                     return Err(Fault::new(args[1].at, &args[1], "a pattern as a string in quotes"));
                 };
@@ -200,7 +200,7 @@
                     let shown: String = pattern.chars().take(40).collect();
                     Fault::new(args[1].at, format_args!("the pattern {shown:?}"), expected)
                 })?;
-                Ok(Term::Matches(of, pattern))
+                Ok(Term::Matches(operand, pattern))
             }
             "size" => {
                 expect_args(1)?;
@@ -211,9 +211,9 @@
             }
             "has" => {
                 expect_args(1)?;
-                let of = self.term(&args[0])?;
-                match self.ty(of) {
-                    Type::Optional(_) => Ok(Term::Has(of)),
+                let operand = self.term(&args[0])?;
+                match self.ty(operand) {
+                    Type::Optional(_) => Ok(Term::Has(operand)),
                     ty => Err(Fault::new(
                         args[0].at,
                         format_args!("{}, of type {ty}", args[0]),
@@ -223,13 +223,13 @@
             }
             "orValue" => {
                 expect_args(2)?;
-                let of = self.term(&args[0])?;
-                let Type::Optional(scalar) = self.ty(of) else {
-                    let found = format_args!("{}, of type {}", args[0], self.ty(of)).to_string();
+                let operand = self.term(&args[0])?;
+                let Type::Optional(scalar) = self.ty(operand) else {
+                    let found = format_args!("{}, of type {}", args[0], self.ty(operand)).to_string();
                     return Err(Fault::new(args[0].at, found, "an optional value"));
                 };
-                let other = self.check(&args[1], Type::Present(scalar))?;
-                Ok(Term::OrValue(of, other))
+                let default = self.check(&args[1], Type::Present(scalar))?;
+                Ok(Term::OrValue(operand, default))
             }
             "hash" => {
                 expect_args(1)?;
@@ -257,24 +257,35 @@
         }
     }
 
-    fn binary(&mut self, expr: &Expr, op: Binary, a: &Expr, b: &Expr) -> Result<TermId, Fault> {
+    fn binary(
+        &mut self,
+        expr: &Expr,
+        op: Binary,
+        left_expr: &Expr,
+        right_expr: &Expr,
+    ) -> Result<TermId, Fault> {
         if op == Binary::In {
-            return self.one_of(expr, a, b);
+            return self.one_of(expr, left_expr, right_expr);
         }
-        let left = self.term(a)?;
+        let left = self.term(left_expr)?;
         let ty = self.ty(left);
         let term = match op {
             Binary::Eq | Binary::Ne => {
                 let (Type::Present(_) | Type::Bool) = ty else {
                     let expected = "a value that is there: add .orValue(...), or test it with has(...)";
-                    return Err(Fault::new(a.at, format_args!("{a}, of type {ty}"), expected));
+                    return Err(Fault::new(
+                        left_expr.at,
+                        format_args!("{left_expr}, of type {ty}"),
+                        expected,
+                    ));
                 };
-                let right = self.check(b, ty)?;
+                let right = self.check(right_expr, ty)?;
                 // A constant is moved to the right, so that both orders give the same term.
                 let constant =
                     |id: TermId| matches!(self.pool.term(id), Term::Bool(_) | Term::Int(..) | Term::Text(_));
-                let (x, y) = if constant(left) && !constant(right) { (right, left) } else { (left, right) };
-                let eq = Term::Eq(x, y);
+                let (operand, other) =
+                    if constant(left) && !constant(right) { (right, left) } else { (left, right) };
+                let eq = Term::Eq(operand, other);
                 if op == Binary::Eq {
                     eq
                 } else {
@@ -282,10 +293,10 @@
                 }
             }
             Binary::Lt | Binary::Le | Binary::Gt | Binary::Ge => {
-                let (Type::Present(_), right) = (ty, self.check(b, ty)?) else {
+                let (Type::Present(_), right) = (ty, self.check(right_expr, ty)?) else {
                     return Err(Fault::new(
-                        a.at,
-                        format_args!("{a}, of type {ty}"),
+                        left_expr.at,
+                        format_args!("{left_expr}, of type {ty}"),
                         "int, duration or string",
                     ));
                 };
@@ -297,7 +308,7 @@
                 }
             }
             Binary::Add if ty == TEXT => {
-                let right = self.check(b, TEXT)?;
+                let right = self.check(right_expr, TEXT)?;
                 let mut parts = Vec::new();
                 for id in [left, right] {
                     match self.pool.term(id) {
@@ -308,11 +319,11 @@
                 Term::Concat(parts)
             }
             Binary::Add | Binary::Sub | Binary::Mul | Binary::Div | Binary::Rem => {
-                let scalar = self.number(a, left)?;
+                let scalar = self.number(left_expr, left)?;
                 // A duration may be multiplied or divided by a number; all other operators take operands of the same
                 // type.
                 let scaled = scalar == ScalarType::Duration && matches!(op, Binary::Mul | Binary::Div);
-                let right = self.check(b, if scaled { INT } else { ty })?;
+                let right = self.check(right_expr, if scaled { INT } else { ty })?;
                 let operator = match op {
                     Binary::Add => ArithmeticOp::Add,
                     Binary::Sub => ArithmeticOp::Sub,
@@ -323,7 +334,7 @@
                 if matches!(operator, ArithmeticOp::Div | ArithmeticOp::Rem)
                     && matches!(self.pool.term(right), Term::Int(0, _))
                 {
-                    return Err(Fault::new(b.at, "a division by 0", "another number"));
+                    return Err(Fault::new(right_expr.at, "a division by 0", "another number"));
                 }
                 Term::Arithmetic(operator, left, right)
             }
@@ -332,37 +343,37 @@
         Ok(self.add(expr, term))
     }
 
-    fn one_of(&mut self, expr: &Expr, a: &Expr, b: &Expr) -> Result<TermId, Fault> {
-        let of = self.term(a)?;
-        if matches!(&b.kind, Kind::Name(n) if n == "segments") {
-            self.expect_type(a, of, TEXT)?;
-            return Ok(self.add(expr, Term::InSegments(of)));
+    fn one_of(&mut self, expr: &Expr, value_expr: &Expr, list_expr: &Expr) -> Result<TermId, Fault> {
+        let value = self.term(value_expr)?;
+        if matches!(&list_expr.kind, Kind::Name(n) if n == "segments") {
+            self.expect_type(value_expr, value, TEXT)?;
+            return Ok(self.add(expr, Term::InSegments(value)));
         }
-        let Kind::List(entries) = &b.kind else {
-            return Err(Fault::new(b.at, b, "a list of constants in [ ], or segments"));
+        let Kind::List(entries) = &list_expr.kind else {
+            return Err(Fault::new(list_expr.at, list_expr, "a list of constants in [ ], or segments"));
         };
-        let ty = self.ty(of);
-        let mut all = Vec::new();
+        let ty = self.ty(value);
+        let mut constants = Vec::new();
         for entry in entries {
-            all.push(match (&entry.kind, ty) {
+            constants.push(match (&entry.kind, ty) {
                 (Kind::Text(t), TEXT) => Const::Text(Arc::from(t.as_str())),
                 (Kind::Int(n), INT) | (Kind::Duration(n), DURATION) => Const::Int(*n),
                 _ => {
-                    let expected = format_args!("a constant of type {ty}, as {a} is").to_string();
+                    let expected = format_args!("a constant of type {ty}, as {value_expr} is").to_string();
                     return Err(Fault::new(entry.at, entry, expected));
                 }
             });
         }
-        if all.is_empty() {
-            return Err(Fault::new(b.at, "[]", "at least one constant"));
+        if constants.is_empty() {
+            return Err(Fault::new(list_expr.at, "[]", "at least one constant"));
         }
-        all.sort();
-        all.dedup();
-        if let [Const::Text(only)] = all.as_slice() {
-            let only = self.pool.add(Term::Text(Arc::clone(only)));
-            return Ok(self.add(expr, Term::Eq(of, only)));
+        constants.sort();
+        constants.dedup();
+        if let [Const::Text(constant)] = constants.as_slice() {
+            let constant = self.pool.add(Term::Text(Arc::clone(constant)));
+            return Ok(self.add(expr, Term::Eq(value, constant)));
         }
-        Ok(self.add(expr, Term::OneOf(of, all.into())))
+        Ok(self.add(expr, Term::OneOf(value, constants.into())))
     }
 }
 
--- a/crates/yarrowspoke-expr/src/index.rs
+++ b/crates/yarrowspoke-expr/src/index.rs
@@ -19,13 +19,13 @@
 }
 
 impl LookupKey {
-    fn of(&self) -> TermId {
+    fn text_term(&self) -> TermId {
         match self {
             Self::OneOf(of, _) | Self::Prefix(of, _) => *of,
         }
     }
 
-    fn keys(&self) -> &[Arc<str>] {
+    fn constants(&self) -> &[Arc<str>] {
         match self {
             Self::OneOf(_, texts) => texts,
             Self::Prefix(_, text) => std::slice::from_ref(text),
@@ -84,55 +84,59 @@
             conditions.iter().map(|c| lookup_keys(pool, *c)).collect();
         // Total steps of the rules that each constant selects. The lower it is, the more selective is the constant.
         let mut costs_by_key: HashMap<(TermId, &str, bool), u64> = HashMap::new();
-        for (n, lookup_key) in
+        for (rule_index, lookup_key) in
             lookup_keys.iter().enumerate().flat_map(|(n, w)| w.iter().flatten().map(move |w| (n, w)))
         {
-            for key in lookup_key.keys() {
+            for key in lookup_key.constants() {
                 *costs_by_key
-                    .entry((lookup_key.of(), key, matches!(lookup_key, LookupKey::OneOf(..))))
-                    .or_default() += rule_costs[n];
+                    .entry((lookup_key.text_term(), key, matches!(lookup_key, LookupKey::OneOf(..))))
+                    .or_default() += rule_costs[rule_index];
             }
         }
         let mut chosen: BTreeMap<TermId, Vec<(u32, &LookupKey)>> = BTreeMap::new();
         let mut always_evaluated = vec![0u64; conditions.len().div_ceil(64)];
         let mut unindexed = 0;
-        for (n, alternatives) in lookup_keys.iter().enumerate() {
-            let mut picks = Vec::new();
+        for (rule_index, alternatives) in lookup_keys.iter().enumerate() {
+            let mut chosen_keys = Vec::new();
             for alternative in alternatives {
                 let candidate_cost = |lookup_key: &&LookupKey| {
-                    let shared = matches!(lookup_key, LookupKey::OneOf(..));
-                    let keys = lookup_key.keys().iter();
+                    let by_equality = matches!(lookup_key, LookupKey::OneOf(..));
+                    let keys = lookup_key.constants().iter();
                     let max_cost = keys
                         .map(|k| {
-                            costs_by_key.get(&(lookup_key.of(), k.as_ref(), shared)).copied().unwrap_or(0)
+                            costs_by_key
+                                .get(&(lookup_key.text_term(), k.as_ref(), by_equality))
+                                .copied()
+                                .unwrap_or(0)
                         })
                         .max();
-                    let already_read = chosen.contains_key(&lookup_key.of());
+                    let already_read = chosen.contains_key(&lookup_key.text_term());
                     max_cost.unwrap_or(0)
-                        + if already_read { 0 } else { pool.facts(lookup_key.of()).total_cost }
+                        + if already_read { 0 } else { pool.facts(lookup_key.text_term()).total_cost }
                 };
-                picks.push(alternative.iter().min_by_key(candidate_cost));
+                chosen_keys.push(alternative.iter().min_by_key(candidate_cost));
             }
-            if picks.is_empty() || picks.iter().any(Option::is_none) {
-                always_evaluated[n / 64] |= 1 << (n % 64);
+            if chosen_keys.is_empty() || chosen_keys.iter().any(Option::is_none) {
+                always_evaluated[rule_index / 64] |= 1 << (rule_index % 64);
                 unindexed += 1;
                 continue;
             }
-            for lookup_key in picks.into_iter().flatten() {
-                chosen.entry(lookup_key.of()).or_default().push((n as u32, lookup_key));
+            for lookup_key in chosen_keys.into_iter().flatten() {
+                chosen.entry(lookup_key.text_term()).or_default().push((rule_index as u32, lookup_key));
             }
         }
         let costliest_rule = |rules: &[u32]| {
             rules.iter().max_by_key(|r| rule_costs[**r as usize]).map_or("", |r| names[*r as usize])
         };
         let mut text_indexes = Vec::new();
-        for (of, found) in chosen {
+        for (text_term, selected) in chosen {
             let mut equals: HashMap<Arc<str>, Vec<u32>> = HashMap::new();
             let mut prefixes: HashMap<Arc<str>, Vec<u32>> = HashMap::new();
-            for (rule, lookup_key) in found {
-                let to = if matches!(lookup_key, LookupKey::OneOf(..)) { &mut equals } else { &mut prefixes };
-                for key in lookup_key.keys() {
-                    let rules = to.entry(Arc::clone(key)).or_default();
+            for (rule, lookup_key) in selected {
+                let table =
+                    if matches!(lookup_key, LookupKey::OneOf(..)) { &mut equals } else { &mut prefixes };
+                for key in lookup_key.constants() {
+                    let rules = table.entry(Arc::clone(key)).or_default();
                     if rules.last() != Some(&rule) {
                         rules.push(rule);
                     }
@@ -156,15 +160,15 @@
                         cost,
                         format!(
                             "{} at {:?}: {cost} steps for {all} rules, the dearest {}",
-                            pool.describe(of),
+                            pool.describe(text_term),
                             key,
                             costliest_rule(rules)
                         ),
                     )
                 });
             let longest = equals.keys().map(|k| k.len()).max().unwrap_or(0);
-            let max_bytes = pool.facts(of).max_bytes;
-            let value = compiler.compile(of);
+            let max_bytes = pool.facts(text_term).max_bytes;
+            let value = compiler.compile(text_term);
             text_indexes.push(TextIndex {
                 value,
                 max_bytes,
@@ -176,11 +180,12 @@
                 costliest_match,
             });
         }
-        let words = always_evaluated.len() as u64;
-        let always_evaluated_rules: Vec<u32> =
-            (0..conditions.len() as u32).filter(|n| is_set(&always_evaluated, *n)).collect();
+        let bitmap_words = always_evaluated.len() as u64;
+        let always_evaluated_rules: Vec<u32> = (0..conditions.len() as u32)
+            .filter(|rule_index| is_set(&always_evaluated, *rule_index))
+            .collect();
         let always_evaluated_cost: u64 = always_evaluated_rules.iter().map(|r| rule_costs[*r as usize]).sum();
-        let found: u64 =
+        let indexed_cost: u64 =
             text_indexes.iter().map(|a| a.value.cost + a.cost(a.max_bytes) + a.max_match_cost).sum();
         let mut costs: Vec<(u64, String)> =
             text_indexes.iter().map(|a| (a.max_match_cost, a.costliest_match.clone())).collect();
@@ -194,7 +199,7 @@
             text_indexes,
             always_evaluated,
             unindexed,
-            cost: found + always_evaluated_cost + 2 * words,
+            cost: indexed_cost + always_evaluated_cost + 2 * bitmap_words,
             costliest,
         }
     }
@@ -248,8 +253,8 @@
     }
 }
 
-fn is_set(bits: &[u64], n: u32) -> bool {
-    bits[n as usize / 64] >> (n % 64) & 1 == 1
+fn is_set(bits: &[u64], rule: u32) -> bool {
+    bits[rule as usize / 64] >> (rule % 64) & 1 == 1
 }
 
 /// Returns, for each alternative of a condition, the lookups by which it can be indexed.
--- a/crates/yarrowspoke-expr/src/logic.rs
+++ b/crates/yarrowspoke-expr/src/logic.rs
@@ -177,9 +177,9 @@
     let mut shadowed_by = vec![None; conditions.len()];
     // Earlier conditions, each under one of its parts: by the text that the part tests, or by the part itself.
     let mut rules_by_key: HashMap<(TermId, Option<Arc<str>>), Vec<usize>> = HashMap::new();
-    let mut always: Option<usize> = None;
+    let mut first_always_true: Option<usize> = None;
     let mut compared_pairs = 0;
-    for (n, id) in conditions.iter().enumerate() {
+    for (index, id) in conditions.iter().enumerate() {
         let parts = conjuncts(pool, *id);
         let keys = |part: TermId| -> Vec<(TermId, Option<Arc<str>>)> {
             let about = allowed_texts(pool, part);
@@ -196,7 +196,7 @@
             }
             keys
         };
-        let mut found = always;
+        let mut shadowing = first_always_true;
         'seek: for part in &parts {
             for key in keys(*part) {
                 for earlier in rules_by_key.get(&key).into_iter().flatten() {
@@ -206,20 +206,20 @@
                     }
                     let earlier_parts = conjuncts(pool, conditions[*earlier]);
                     if earlier_parts.iter().all(|t| parts.iter().any(|p| implies(pool, *p, *t))) {
-                        found = Some(*earlier);
+                        shadowing = Some(*earlier);
                         break 'seek;
                     }
                 }
             }
         }
-        shadowed_by[n] = found;
+        shadowed_by[index] = shadowing;
         // An earlier condition that sometimes has no value lets those requests reach the later one, so it shadows
         // nothing.
-        if found.is_some() || !always_has_value(pool, *id) {
+        if shadowing.is_some() || !always_has_value(pool, *id) {
             continue;
         }
         match parts.first() {
-            None => always = always.or(Some(n)),
+            None => first_always_true = first_always_true.or(Some(index)),
             Some(part) => {
                 let key = match allowed_texts(pool, *part) {
                     Some((of, texts)) if texts.len() == 1 => (of, Some(Arc::clone(&texts[0]))),
@@ -232,7 +232,7 @@
                             .map_or((*part, None), |of| (of, None)),
                     },
                 };
-                rules_by_key.entry(key).or_default().push(n);
+                rules_by_key.entry(key).or_default().push(index);
             }
         }
     }
--- a/crates/yarrowspoke-expr/src/program.rs
+++ b/crates/yarrowspoke-expr/src/program.rs
@@ -75,7 +75,7 @@
 
 /// Instructions and constants of a set of rules.
 pub struct Program {
-    code: Vec<Instruction>,
+    instructions: Vec<Instruction>,
     texts: Vec<Arc<str>>,
     lists: Vec<Arc<[Const]>>,
     /// Regular expressions.
@@ -103,7 +103,7 @@
     /// Creates a compiler of terms of `pool`; `uses` is the number of uses of each term.
     pub fn new(pool: &'a Pool, uses: &'a [u32], regexes: Regexes) -> Self {
         let program = Program {
-            code: Vec::new(),
+            instructions: Vec::new(),
             texts: Vec::new(),
             lists: Vec::new(),
             regexes,
@@ -116,21 +116,21 @@
 
     /// Returns the finished program.
     pub fn finish(mut self) -> Program {
-        self.program.code.shrink_to_fit();
+        self.program.instructions.shrink_to_fit();
         self.program
     }
 
     /// Compiles one term.
     pub fn compile(&mut self, id: TermId) -> CompiledExpr {
-        let from = self.program.code.len() as u32;
+        let from = self.program.instructions.len() as u32;
         self.depth = 0;
         let cost = self.emit_term(id);
-        CompiledExpr { from, to: self.program.code.len() as u32, cost }
+        CompiledExpr { from, to: self.program.instructions.len() as u32, cost }
     }
 
     fn emit(&mut self, code: Instruction) -> usize {
-        self.program.code.push(code);
-        self.program.code.len() - 1
+        self.program.instructions.push(code);
+        self.program.instructions.len() - 1
     }
 
     fn emit_push(&mut self, code: Instruction) {
@@ -140,7 +140,7 @@
     }
 
     fn next_address(&self) -> u32 {
-        self.program.code.len() as u32
+        self.program.instructions.len() as u32
     }
 
     fn text(&mut self, text: &Arc<str>) -> u32 {
@@ -167,7 +167,7 @@
         let known = self.emit(Instruction::LoadMemo(slot, 0));
         let cost = self.emit_unmemoized(id);
         self.emit(Instruction::StoreMemo(slot));
-        self.program.code[known] = Instruction::LoadMemo(slot, self.next_address());
+        self.program.instructions[known] = Instruction::LoadMemo(slot, self.next_address());
         cost + 2
     }
 
@@ -210,7 +210,7 @@
                     cost += self.emit_term(*part);
                 }
                 for jump_to_end in jumps {
-                    self.program.code[jump_to_end] = Instruction::JumpIf(holds, self.next_address());
+                    self.program.instructions[jump_to_end] = Instruction::JumpIf(holds, self.next_address());
                 }
                 return cost;
             }
@@ -221,9 +221,9 @@
                 cost += self.emit_term(yes);
                 let jump_to_end = self.emit(Instruction::Jump(0));
                 self.depth -= 1;
-                self.program.code[jump_if_false] = Instruction::JumpIfFalse(self.next_address());
+                self.program.instructions[jump_if_false] = Instruction::JumpIfFalse(self.next_address());
                 cost += self.emit_term(no);
-                self.program.code[jump_to_end] = Instruction::Jump(self.next_address());
+                self.program.instructions[jump_to_end] = Instruction::Jump(self.next_address());
                 return cost;
             }
             Term::OrValue(of, other) => {
@@ -231,7 +231,7 @@
                 let jump_if_present = self.emit(Instruction::JumpIfPresent(0));
                 self.depth -= 1;
                 cost += self.emit_term(other);
-                self.program.code[jump_if_present] = Instruction::JumpIfPresent(self.next_address());
+                self.program.instructions[jump_if_present] = Instruction::JumpIfPresent(self.next_address());
                 return cost;
             }
             Term::Eq(a, b) => return own + self.emit_binary(a, b, Instruction::Eq),
@@ -262,15 +262,15 @@
         own
     }
 
-    fn emit_unary(&mut self, a: TermId, code: Instruction) -> u64 {
-        let cost = self.emit_term(a);
-        self.emit(code);
+    fn emit_unary(&mut self, operand: TermId, instruction: Instruction) -> u64 {
+        let cost = self.emit_term(operand);
+        self.emit(instruction);
         cost
     }
 
-    fn emit_binary(&mut self, a: TermId, b: TermId, code: Instruction) -> u64 {
-        let cost = self.emit_term(a) + self.emit_term(b);
-        self.emit(code);
+    fn emit_binary(&mut self, left: TermId, right: TermId, instruction: Instruction) -> u64 {
+        let cost = self.emit_term(left) + self.emit_term(right);
+        self.emit(instruction);
         self.depth -= 1;
         cost
     }
@@ -283,7 +283,11 @@
         let entry = |c: &Const| if let Const::Text(t) = c { t.len() + 32 } else { 24 };
         let lists = self.lists.iter().flat_map(|l| l.iter()).map(entry).sum::<usize>();
         let regexes = self.regexes.all.iter().map(|r| r.bytes()).sum::<usize>();
-        self.code.len() * size_of::<Instruction>() + texts + lists + regexes + 16 * self.memo_slots as usize
+        self.instructions.len() * size_of::<Instruction>()
+            + texts
+            + lists
+            + regexes
+            + 16 * self.memo_slots as usize
     }
 }
 
@@ -366,9 +370,9 @@
             };
         }
         while at < end {
-            let code = program.code[at];
+            let instruction = program.instructions[at];
             at += 1;
-            match code {
+            match instruction {
                 Instruction::Bool(b) => {
                     add_steps!(1);
                     stack.push(Value::Bool(b));
@@ -440,7 +444,7 @@
                         }
                         _ => return Err(NoValue),
                     };
-                    let holds = order.is_lt() || matches!(code, Instruction::LessEq) && order.is_eq();
+                    let holds = order.is_lt() || matches!(instruction, Instruction::LessEq) && order.is_eq();
                     stack.push(Value::Bool(holds));
                 }
                 Instruction::Not => {
@@ -497,33 +501,35 @@
                 }
                 Instruction::TextTest(affix) => {
                     let (b, a) = (pop!(Text), pop!(Text));
-                    let (of, by) = (text!(a), text!(b));
+                    let (operand, by) = (text!(a), text!(b));
                     let holds = match affix {
-                        TextTest::StartsWith => of.starts_with(by),
-                        TextTest::EndsWith => of.ends_with(by),
-                        TextTest::Contains => memchr::memmem::find(of.as_bytes(), by.as_bytes()).is_some(),
+                        TextTest::StartsWith => operand.starts_with(by),
+                        TextTest::EndsWith => operand.ends_with(by),
+                        TextTest::Contains => {
+                            memchr::memmem::find(operand.as_bytes(), by.as_bytes()).is_some()
+                        }
                     };
                     add_steps!(match affix {
-                        TextTest::Contains => bounds::scan_cost(of.len() + by.len()),
-                        _ => bounds::compare_cost(of.len(), by.len()),
+                        TextTest::Contains => bounds::scan_cost(operand.len() + by.len()),
+                        _ => bounds::compare_cost(operand.len(), by.len()),
                     });
                     stack.push(Value::Bool(holds));
                 }
                 Instruction::Matches(regex) => {
-                    let of = pop!(Text);
-                    let (found, read) = program.regexes.all[regex as usize].search(text!(of).as_bytes());
+                    let operand = pop!(Text);
+                    let (found, read) = program.regexes.all[regex as usize].search(text!(operand).as_bytes());
                     add_steps!(bounds::scan_cost(read));
                     stack.push(Value::Bool(found));
                 }
                 Instruction::Size => {
                     add_steps!(1);
-                    let of = pop!(Text);
-                    stack.push(Value::Int(of.bytes() as i64));
+                    let operand = pop!(Text);
+                    stack.push(Value::Int(operand.bytes() as i64));
                 }
                 Instruction::OneOf(list) => {
-                    let of = pop!();
+                    let operand = pop!();
                     let list = &program.lists[list as usize];
-                    let (found, met) = match of {
+                    let (found, met) = match operand {
                         Value::Int(n) => (list.binary_search(&Const::Int(n)).is_ok(), 0),
                         Value::Text(slice) => {
                             let text = text!(slice);
@@ -542,43 +548,43 @@
                     stack.push(Value::Bool(found));
                 }
                 Instruction::InSegments => {
-                    let of = pop!(Text);
-                    let (text, path) = (text!(of), request.path());
+                    let operand = pop!(Text);
+                    let (text, path) = (text!(operand), request.path());
                     let inner = path.strip_prefix('/').unwrap_or(path);
-                    add_steps!(2 * bounds::scan_cost(path.len()) + bounds::copy_cost(of.bytes()));
+                    add_steps!(2 * bounds::scan_cost(path.len()) + bounds::copy_cost(operand.bytes()));
                     stack.push(Value::Bool(inner.split('/').any(|s| s == text)));
                 }
                 Instruction::Has => {
                     add_steps!(1);
-                    let of = pop!();
-                    stack.push(Value::Bool(of != Value::Absent));
+                    let operand = pop!();
+                    stack.push(Value::Bool(operand != Value::Absent));
                 }
                 Instruction::Hash => {
-                    let of = pop!(Text);
-                    add_steps!(bounds::lookup_cost(of.bytes()));
-                    stack.push(Value::Int(hash(text!(of))));
+                    let operand = pop!(Text);
+                    add_steps!(bounds::lookup_cost(operand.bytes()));
+                    stack.push(Value::Int(hash(text!(operand))));
                 }
                 Instruction::ToInt => {
-                    let of = pop!(Text);
-                    add_steps!(bounds::scan_cost(of.bytes().min(bounds::MAX_INT_BYTES)));
-                    stack.push(to_int(text!(of)).map_or(Value::Absent, Value::Int));
+                    let operand = pop!(Text);
+                    add_steps!(bounds::scan_cost(operand.bytes().min(bounds::MAX_INT_BYTES)));
+                    stack.push(to_int(text!(operand)).map_or(Value::Absent, Value::Int));
                 }
                 Instruction::LowerAscii => {
-                    let of = pop!(Text);
-                    add_steps!(bounds::scan_cost(of.bytes()));
+                    let operand = pop!(Text);
+                    add_steps!(bounds::scan_cost(operand.bytes()));
                     let start = built.len();
-                    if of.source == TextSource::Built {
-                        built.extend_from_within(of.from as usize..of.to as usize);
+                    if operand.source == TextSource::Built {
+                        built.extend_from_within(operand.from as usize..operand.to as usize);
                     } else {
-                        built.push_str(resolve_text(program, "", request, of));
+                        built.push_str(resolve_text(program, "", request, operand));
                     }
                     built[start..].make_ascii_lowercase();
                     stack.push(built_from(built, start));
                 }
                 Instruction::LoadMemo(slot, to) => {
                     add_steps!(1);
-                    let (of, value) = memo[slot as usize];
-                    if of == *request_number {
+                    let (operand, value) = memo[slot as usize];
+                    if operand == *request_number {
                         stack.push(value);
                         at = to as usize;
                     }
--- a/crates/yarrowspoke-expr/src/regexes.rs
+++ b/crates/yarrowspoke-expr/src/regexes.rs
@@ -33,7 +33,7 @@
             .syntax(syntax::Config::new().unicode(false).utf8(false).nest_limit(32))
             .thompson(thompson::Config::new().utf8(false).nfa_size_limit(Some(MAX_AUTOMATON_BUILD_BYTES)))
             .build(pattern)
-            .map_err(|e| expected_pattern(&e))?;
+            .map_err(|error| expected_pattern(&error))?;
         Ok(Self { automaton })
     }
 
@@ -61,14 +61,14 @@
     }
 }
 
-fn expected_pattern(e: &dense::BuildError) -> String {
-    let mut cause: &dyn std::error::Error = e;
+fn expected_pattern(error: &dense::BuildError) -> String {
+    let mut cause: &dyn std::error::Error = error;
     while let Some(inner) = cause.source() {
         cause = inner;
     }
     let text = cause.to_string();
     let last = text.lines().last().unwrap_or("").trim();
-    if e.is_size_limit_exceeded() || text.contains("size limit") || text.contains("exceed") {
+    if error.is_size_limit_exceeded() || text.contains("size limit") || text.contains("exceed") {
         format!("a pattern whose automaton has at most {MAX_AUTOMATON_BYTES} bytes")
     } else {
         format!("a pattern of bytes ({last})")
--- a/crates/yarrowspoke-expr/src/ruling.rs
+++ b/crates/yarrowspoke-expr/src/ruling.rs
@@ -87,15 +87,15 @@
 /// Fault in the actions of a rule: what was found and what was expected.
 pub type ActionFault = (String, String);
 
-/// Resolves the names in the actions of a rule that can hold for the classes in `holds`, or for any class if it is
+/// Resolves the names in the actions of a rule that can hold for the classes in `possible_classes`, or for any class if it is
 /// `None`.
 pub fn bind(
     actions: &RuleActions,
-    holds: Option<&BTreeSet<String>>,
+    possible_classes: Option<&BTreeSet<String>>,
     deployment: &Deployment,
 ) -> Result<BoundActions, Vec<ActionFault>> {
     let mut faults = Vec::new();
-    let mut place = |what: &str, name: &Option<String>, all: &[String]| -> Option<usize> {
+    let mut resolve = |what: &str, name: &Option<String>, all: &[String]| -> Option<usize> {
         let name = name.as_ref()?;
         let found = all.iter().position(|n| n == name);
         if found.is_none() {
@@ -103,25 +103,26 @@
         }
         found
     };
-    let class = place("class", &actions.class, deployment.class_names);
-    let tenant = place("tenant", &actions.tenant, deployment.tenants);
-    let preferred_zone = place("zone", &actions.zone, deployment.zones);
-    let preferred_kind = place("kind", &actions.kind, deployment.kinds);
+    let class = resolve("class", &actions.class, deployment.class_names);
+    let tenant = resolve("tenant", &actions.tenant, deployment.tenants);
+    let preferred_zone = resolve("zone", &actions.zone, deployment.zones);
+    let preferred_kind = resolve("kind", &actions.kind, deployment.kinds);
     if let Some(n) = actions.attempts.filter(|n| *n > deployment.max_attempts) {
-        let wanted = format!("at most the settings' {}", deployment.max_attempts);
-        faults.push((format!("{n} attempts"), wanted));
+        let expected = format!("at most the settings' {}", deployment.max_attempts);
+        faults.push((format!("{n} attempts"), expected));
     }
     let mut at_most_once = actions.at_most_once;
     if let Some(target) = class {
         for (own_class, name) in deployment.class_names.iter().enumerate() {
-            if holds.is_some_and(|h| !h.contains(name)) {
+            if possible_classes.is_some_and(|h| !h.contains(name)) {
                 continue;
             }
-            if let Some(wanted) = loosening_fault(&deployment.classes[own_class], &deployment.classes[target])
+            if let Some(expected) =
+                loosening_fault(&deployment.classes[own_class], &deployment.classes[target])
             {
                 faults.push((
                     format!("class {} for requests of class {name}", deployment.class_names[target]),
-                    wanted,
+                    expected,
                 ));
             }
         }
@@ -162,12 +163,12 @@
         (Idempotency::Keyed, Idempotency::Keyed) => {
             let same =
                 own_class.dedup_scope == target.dedup_scope && own_class.dedup_window == target.dedup_window;
-            let wanted = format!(
+            let expected = format!(
                 "a keyed class whose repeats {} drop for {} us",
                 group(own_class),
                 own_class.dedup_window
             );
-            (!same).then_some(wanted)
+            (!same).then_some(expected)
         }
     }
 }
--- a/crates/yarrowspoke-expr/src/set.rs
+++ b/crates/yarrowspoke-expr/src/set.rs
@@ -108,7 +108,7 @@
     /// Compiles a set, or returns all faults found in one pass.
     pub fn compile(source: &RuleSetSource) -> Result<Self, Vec<RuleFault>> {
         let mut faults = Vec::new();
-        let whole_rule_fault = |rule, found: String, expected: String| RuleFault {
+        let fault = |rule, found: String, expected: String| RuleFault {
             rule,
             rule_part: RulePart::Whole,
             at: Span::default(),
@@ -117,35 +117,35 @@
         };
         if source.rules.len() > MAX_RULES {
             let found = format!("{} rules", source.rules.len());
-            return Err(vec![whole_rule_fault(None, found, format!("at most {MAX_RULES}"))]);
+            return Err(vec![fault(None, found, format!("at most {MAX_RULES}"))]);
         }
         let mut pool = Pool::new(source.bounds);
         let mut regexes = Regexes::default();
         let mut checked_rules: Vec<CheckedRule> = Vec::new();
-        let mut named: HashMap<&str, usize> = HashMap::new();
-        for (n, rule) in source.rules.iter().enumerate() {
-            if let Some(first) = named.insert(&rule.name, n) {
-                let wanted = format!("another name: rule {} has it", first + 1);
-                faults.push(whole_rule_fault(Some(n), format!("a second rule {}", rule.name), wanted));
+        let mut first_by_name: HashMap<&str, usize> = HashMap::new();
+        for (rule_index, rule) in source.rules.iter().enumerate() {
+            if let Some(first) = first_by_name.insert(&rule.name, rule_index) {
+                let expected = format!("another name: rule {} has it", first + 1);
+                faults.push(fault(Some(rule_index), format!("a second rule {}", rule.name), expected));
             }
             if rule.actions.is_empty() {
-                let wanted = "something that it says: class, effect, refuse and so on".to_owned();
-                faults.push(whole_rule_fault(
-                    Some(n),
+                let expected = "something that it says: class, effect, refuse and so on".to_owned();
+                faults.push(fault(
+                    Some(rule_index),
                     format!("rule {} that says nothing", rule.name),
-                    wanted,
+                    expected,
                 ));
             }
             let mut check_text =
                 |rule_part: RulePart, text: &str, ty: Type, costliest: &mut CostliestOperation| {
                     let mut checker =
                         Checker { pool: &mut pool, regexes: &mut regexes, costliest: (0, Span::default()) };
-                    let done = parse(text).and_then(|tree| checker.check_root(&tree, ty));
+                    let term = parse(text).and_then(|tree| checker.check_root(&tree, ty));
                     costliest.record(checker.costliest, rule_part, text);
-                    match done {
-                        Ok(done) => Some(done),
+                    match term {
+                        Ok(term) => Some(term),
                         Err(Fault { at, found, expected }) => {
-                            faults.push(RuleFault { rule: Some(n), rule_part, at, found, expected });
+                            faults.push(RuleFault { rule: Some(rule_index), rule_part, at, found, expected });
                             None
                         }
                     }
@@ -154,23 +154,23 @@
             let when = check_text(RulePart::When, &rule.when, Type::Bool, &mut costliest);
             let subject =
                 rule.actions.subject.as_ref().map(|s| check_text(RulePart::Subject, s, TEXT, &mut costliest));
-            let key = rule.actions.limit.as_ref().and_then(|l| l.key.as_ref());
-            let key = key.map(|k| check_text(RulePart::LimitKey, k, TEXT, &mut costliest));
+            let limit_key = rule.actions.limit.as_ref().and_then(|l| l.key.as_ref());
+            let limit_key = limit_key.map(|k| check_text(RulePart::LimitKey, k, TEXT, &mut costliest));
             if let Some(when) = when {
                 checked_rules.push(CheckedRule {
                     when,
                     subject: subject.flatten(),
-                    key: key.flatten(),
+                    limit_key: limit_key.flatten(),
                     costliest,
                 });
             }
             // Patterns are compiled while the file is read. Without this check, thousands of large ones could exhaust
             // the memory before the size of the whole set is checked.
-            let made: usize = regexes.all.iter().map(|r| r.bytes()).sum();
-            if made > source.bounds.max_bytes {
-                let found = format!("regular expressions of {made} bytes up to rule {}", rule.name);
-                faults.push(whole_rule_fault(
-                    Some(n),
+            let pattern_bytes: usize = regexes.all.iter().map(|r| r.bytes()).sum();
+            if pattern_bytes > source.bounds.max_bytes {
+                let found = format!("regular expressions of {pattern_bytes} bytes up to rule {}", rule.name);
+                faults.push(fault(
+                    Some(rule_index),
                     found,
                     format!("at most {} for the set", source.bounds.max_bytes),
                 ));
@@ -194,17 +194,18 @@
         let mut rules = Vec::new();
         let mut rule_costs = Vec::new();
         let mut action_costs = Vec::new();
-        for (rule, checked_rules) in source.rules.iter().zip(&checked_rules) {
-            let when = compiler.compile(checked_rules.when);
-            let subject = checked_rules.subject.map(|id| compiler.compile(id));
-            let limit_key = checked_rules.key.map(|id| compiler.compile(id));
+        for (rule, checked_rule) in source.rules.iter().zip(&checked_rules) {
+            let when = compiler.compile(checked_rule.when);
+            let subject = checked_rule.subject.map(|id| compiler.compile(id));
+            let limit_key = checked_rule.limit_key.map(|id| compiler.compile(id));
             // Subjects and keys are hashed after they are evaluated.
             let hashed_cost = |part: Option<CompiledExpr>, id: Option<TermId>| {
                 part.map_or(0, |p| p.cost + id.map_or(0, |id| bounds::lookup_cost(pool.facts(id).max_bytes)))
             };
-            let action =
-                1 + hashed_cost(subject, checked_rules.subject) + hashed_cost(limit_key, checked_rules.key);
-            let (possible_classes, whole_class) = classes(&pool, checked_rules.when);
+            let action = 1
+                + hashed_cost(subject, checked_rule.subject)
+                + hashed_cost(limit_key, checked_rule.limit_key);
+            let (possible_classes, whole_class) = classes(&pool, checked_rule.when);
             rule_costs.push(1 + when.cost + if source.order == Order::All { action } else { 0 });
             action_costs.push(action);
             rules.push(Rule {
@@ -261,17 +262,24 @@
             expected,
         };
         let mut faults = Vec::new();
-        for (n, checked_rules) in checked_rules.iter().enumerate() {
-            let rule_cost = rule_costs[n].max(1 + self.rules[n].when.cost + action_costs[n]);
+        for (rule_index, checked_rule) in checked_rules.iter().enumerate() {
+            let rule_cost =
+                rule_costs[rule_index].max(1 + self.rules[rule_index].when.cost + action_costs[rule_index]);
             if rule_cost > self.bounds.max_steps {
-                let CostliestOperation { cost, at, rule_part, text } = &checked_rules.costliest;
+                let CostliestOperation { cost, at, rule_part, text } = &checked_rule.costliest;
                 let found = format!(
                     "rule {} of up to {rule_cost} steps, the dearest of them {cost} for {}",
-                    self.rules[n].name,
+                    self.rules[rule_index].name,
                     excerpt_of(text, *at)
                 );
                 let expected = format!("at most {} steps", self.bounds.max_steps);
-                faults.push(RuleFault { rule: Some(n), rule_part: *rule_part, at: *at, found, expected });
+                faults.push(RuleFault {
+                    rule: Some(rule_index),
+                    rule_part: *rule_part,
+                    at: *at,
+                    found,
+                    expected,
+                });
             }
         }
         if faults.is_empty() && self.cost > self.bounds.max_steps {
@@ -296,11 +304,11 @@
     /// Resolves names of the rules in a deployment. Rejects actions that would weaken its guards.
     pub fn bind(&mut self, deployment: &Deployment) -> Result<(), Vec<RuleFault>> {
         let mut faults = Vec::new();
-        for (n, rule) in self.rules.iter_mut().enumerate() {
+        for (rule_index, rule) in self.rules.iter_mut().enumerate() {
             match bind(&rule.actions, rule.possible_classes.as_ref(), deployment) {
                 Ok(bound_actions) => rule.bound_actions = bound_actions,
                 Err(refused) => faults.extend(refused.into_iter().map(|(found, expected)| RuleFault {
-                    rule: Some(n),
+                    rule: Some(rule_index),
                     rule_part: RulePart::Whole,
                     at: Span::default(),
                     found,
@@ -308,35 +316,35 @@
                 })),
             }
         }
-        for (n, rule) in self.rules.iter().enumerate() {
+        for (rule_index, rule) in self.rules.iter().enumerate() {
             for class in
                 rule.possible_classes.iter().flatten().filter(|c| !deployment.class_names.contains(c))
             {
                 let text = format!("asks for class {class:?}, which the settings don't name");
-                self.warnings.push(Warning { rule: Some(n), text });
+                self.warnings.push(Warning { rule: Some(rule_index), text });
             }
         }
-        let refused = |class: &String| {
+        let is_refused = |class: &String| {
             let mut whole_class_rules = self.rules.iter().filter(|r| r.whole_class);
             whole_class_rules.any(|r| {
                 r.actions.refuse.is_some() && r.possible_classes.as_ref().is_none_or(|h| h.contains(class))
             })
         };
         let refused_classes: Vec<&str> =
-            deployment.class_names.iter().filter(|c| refused(c)).map(String::as_str).collect();
+            deployment.class_names.iter().filter(|c| is_refused(c)).map(String::as_str).collect();
         if !refused_classes.is_empty() {
             let all = refused_classes.len() == deployment.class_names.len();
-            let what = if all {
+            let requests = if all {
                 "every request".to_owned()
             } else {
                 format!("every request of {}", refused_classes.join(", "))
             };
             // With "first match", an earlier rule may let some requests through, so the warning says so.
-            let unless = match self.order {
+            let exception = match self.order {
                 Order::First => ", unless an earlier rule holds for it",
                 Order::All => "",
             };
-            self.warnings.push(Warning { rule: None, text: format!("{what} is refused{unless}") });
+            self.warnings.push(Warning { rule: None, text: format!("{requests} is refused{exception}") });
         }
         if faults.is_empty() {
             Ok(())
@@ -414,11 +422,11 @@
         self.index.find_candidates::<COUNTED>(&self.program, machine, request, bits);
         let mut ruling = Ruling::default();
         for word in 0..scratch.bits.len() {
-            let mut left = scratch.bits[word];
-            while left != 0 {
-                let n = word * 64 + left.trailing_zeros() as usize;
-                left &= left - 1;
-                let rule = &self.rules[n];
+            let mut bits_left = scratch.bits[word];
+            while bits_left != 0 {
+                let rule_index = word * 64 + bits_left.trailing_zeros() as usize;
+                bits_left &= bits_left - 1;
+                let rule = &self.rules[rule_index];
                 let machine = &mut scratch.machine;
                 if COUNTED {
                     machine.steps += 1;
@@ -545,11 +553,11 @@
         let Scratch { machine, bits, .. } = scratch;
         machine.start_request(&self.program, request);
         self.index.find_candidates::<false>(&self.program, machine, request, bits);
-        let is_candidate = |n: usize| bits[n / 64] >> (n % 64) & 1 == 1;
+        let is_candidate = |rule_index: usize| bits[rule_index / 64] >> (rule_index % 64) & 1 == 1;
         let value = |e: &Expr| interpreter::value(e, request, &self.program.regexes, &self.headers);
-        let rules = self.rules.iter().enumerate().filter(|(n, _)| all || is_candidate(*n));
+        let rules = self.rules.iter().enumerate().filter(|(rule_index, _)| all || is_candidate(*rule_index));
         rules
-            .filter_map(|(n, rule)| {
+            .filter_map(|(rule_index, rule)| {
                 let tree = parse(&rule.text).ok()?;
                 let parts = match &tree.kind {
                     Kind::And(parts) | Kind::Or(parts) => parts.as_slice(),
@@ -565,7 +573,7 @@
                 Some(RuleExplanation {
                     name: rule.name.clone(),
                     matched,
-                    is_candidate: is_candidate(n),
+                    is_candidate: is_candidate(rule_index),
                     parts,
                 })
             })
@@ -614,7 +622,7 @@
 struct CheckedRule {
     when: TermId,
     subject: Option<TermId>,
-    key: Option<TermId>,
+    limit_key: Option<TermId>,
     costliest: CostliestOperation,
 }
 
@@ -649,7 +657,7 @@
 /// Counts the uses of each term by rules; a term used several times by one rule counts several times.
 fn term_uses(pool: &Pool, checked_rules: &[CheckedRule]) -> Vec<u32> {
     let mut term_uses = vec![0u32; pool.terms()];
-    let roots = checked_rules.iter().flat_map(|r| [Some(r.when), r.subject, r.key]).flatten();
+    let roots = checked_rules.iter().flat_map(|r| [Some(r.when), r.subject, r.limit_key]).flatten();
     let mut work: Vec<TermId> = roots.collect();
     while let Some(id) = work.pop() {
         term_uses[id as usize] = term_uses[id as usize].saturating_add(1);
@@ -668,12 +676,12 @@
     let mut whole_class = true;
     for alternative in disjuncts(pool, condition) {
         let parts = conjuncts(pool, alternative);
-        let named = parts.iter().find_map(|p| {
+        let allowed_classes = parts.iter().find_map(|p| {
             let (of, texts) = allowed_texts(pool, *p)?;
             matches!(pool.term(of), Term::Field(Field::Class)).then_some(texts)
         });
-        whole_class &= parts.len() <= usize::from(named.is_some());
-        match named {
+        whole_class &= parts.len() <= usize::from(allowed_classes.is_some());
+        match allowed_classes {
             Some(texts) => classes.extend(texts.iter().map(|t| t.to_string())),
             None => return (None, parts.is_empty()),
         }
@@ -690,11 +698,14 @@
         }
     }
     if source.order == Order::First {
-        let (covered, complete) = find_shadowed(pool, conditions);
-        for (n, by) in covered.into_iter().enumerate() {
-            if let Some(by) = by {
-                let text =
-                    format!("rule {} is never reached: rule {} holds wherever it does", name(n), name(by));
+        let (shadowed, complete) = find_shadowed(pool, conditions);
+        for (n, earlier) in shadowed.into_iter().enumerate() {
+            if let Some(earlier) = earlier {
+                let text = format!(
+                    "rule {} is never reached: rule {} holds wherever it does",
+                    name(n),
+                    name(earlier)
+                );
                 warnings.push(Warning { rule: Some(n), text });
             }
         }
--- a/crates/yarrowspoke-expr/src/syntax.rs
+++ b/crates/yarrowspoke-expr/src/syntax.rs
@@ -188,8 +188,8 @@
                 write_list(f, parts, ", ", 0)?;
                 f.write_str("]")
             }
-            Kind::Index(of, at) => {
-                of.write_expr(f, 8)?;
+            Kind::Index(operand, at) => {
+                operand.write_expr(f, 8)?;
                 f.write_str("[")?;
                 at.write_expr(f, 0)?;
                 f.write_str("]")
@@ -207,17 +207,17 @@
                 write_list(f, rest, ", ", 0)?;
                 f.write_str(")")
             }
-            Kind::Unary(op, of) => {
+            Kind::Unary(op, operand) => {
                 f.write_str(if *op == Unary::Not { "!" } else { "-" })?;
                 // The operand gets no parentheses around another sign, because they would add a level of nesting.
-                of.write_expr(f, 7)
+                operand.write_expr(f, 7)
             }
             Kind::Binary(op, a, b) => {
-                let s = op.precedence();
+                let precedence = op.precedence();
                 // Comparisons do not chain; the other operators are left-associative.
-                a.write_expr(f, if s == 4 { s + 1 } else { s })?;
+                a.write_expr(f, if precedence == 4 { precedence + 1 } else { precedence })?;
                 write!(f, " {} ", op.symbol())?;
-                b.write_expr(f, s + 1)
+                b.write_expr(f, precedence + 1)
             }
             Kind::And(parts) => write_list(f, parts, " && ", 4),
             Kind::Or(parts) => write_list(f, parts, " || ", 3),
--- a/crates/yarrowspoke-expr/tests/hostile.rs
+++ b/crates/yarrowspoke-expr/tests/hostile.rs
@@ -11,14 +11,14 @@
 use yarrowspoke_expr::set::{Order, RuleSet, RuleSetSource, RuleSource, Scratch};
 
 #[test]
-fn deep_and_long_texts_are_refused() {
-    let deep = |open: &str, close: &str, n: usize| format!("{}true{}", open.repeat(n), close.repeat(n));
+fn deep_and_long_expressions_are_rejected() {
+    let nested = |open: &str, close: &str, n: usize| format!("{}true{}", open.repeat(n), close.repeat(n));
     for text in [
-        deep("(", ")", 100_000),
-        deep("(", ")", 2_000),
-        deep("!", "", 4_000),
-        deep("!(", ")", MAX_DEPTH),
-        deep("true ? true : ", "", 500),
+        nested("(", ")", 100_000),
+        nested("(", ")", 2_000),
+        nested("!", "", 4_000),
+        nested("!(", ")", MAX_DEPTH),
+        nested("true ? true : ", "", 500),
         "[".repeat(5_000),
         "a[".repeat(3_000),
         format!("length{}", " - 1".repeat(1_000)),
@@ -35,11 +35,11 @@
         assert!(!fault.expected.is_empty() && fault.found.len() < 200, "{fault:?}");
     }
     // An expression at the maximum depth is accepted.
-    assert!(parse(&deep("(", ")", MAX_DEPTH - 1)).is_ok());
+    assert!(parse(&nested("(", ")", MAX_DEPTH - 1)).is_ok());
 }
 
 #[test]
-fn strings_that_double_and_patterns_that_explode_are_refused() {
+fn doubling_strings_and_oversized_patterns_are_rejected() {
     let mut doubled = "path".to_owned();
     for _ in 0..8 {
         doubled = format!("({doubled} + {doubled})");
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_rule_and_a_set_that_are_too_dear_are_refused_with_the_dearest_part() {
+fn expensive_rules_and_sets_are_rejected_naming_the_costliest_part() {
     let many: Vec<String> = (0..30).map(|n| format!("path.contains('x{n}')")).collect();
     let fault = refused(&many.join(" || "));
     assert!(fault.found.contains("steps") && fault.found.contains("`path.contains('x"), "{fault:?}");
@@ -116,14 +116,14 @@
         let bytes = std::fs::read(file.unwrap().path()).unwrap();
         for line in String::from_utf8_lossy(&bytes).lines() {
             read += 1;
-            try_all(line);
+            check_everywhere(line);
         }
     }
     assert!(read >= 40, "{read} lines of corpus");
 }
 
 /// Parses `text` in every place that takes an expression, and runs what is accepted.
-fn try_all(text: &str) {
+fn check_everywhere(text: &str) {
     if let Ok(tree) = parse(text) {
         let again = parse(&tree.to_string()).unwrap_or_else(|f| panic!("{text:?} prints as {tree}: {f}"));
         assert_eq!(again.to_string(), tree.to_string(), "{text:?}");
@@ -153,12 +153,12 @@
 
     #[test]
     fn no_text_panics(text in "\\PC{0,60}") {
-        try_all(&text);
+        check_everywhere(&text);
     }
 
     #[test]
     fn no_mix_of_words_panics(words in proptest::collection::vec(prop::sample::select(WORDS), 0..14)) {
-        try_all(&words.join(" "));
+        check_everywhere(&words.join(" "));
     }
 }
 
--- a/crates/yarrowspoke-expr/tests/language.rs
+++ b/crates/yarrowspoke-expr/tests/language.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn what_overflows_or_divides_by_zero_has_no_value_and_does_not_hold() {
+fn overflow_and_division_by_zero_have_no_value_and_do_not_hold() {
     let r = request("/article");
     for when in [
         "9223372036854775807 + length + 1 > 0",
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn rules_see_the_bytes_that_are_passed_on() {
+fn rules_read_the_undecoded_bytes() {
     let r = request("/article/%73port/..?key=%6b&key=b");
     assert!(!holds("segments[1].orValue('') == 'sport'", &r));
     assert!(holds("segments[1].orValue('') == '%73port' && segments[2].orValue('') == '..'", &r));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn every_fault_tells_where_it_is_and_what_was_expected() {
+fn faults_have_a_position_and_the_expected_input() {
     for (when, at, found, expected) in [
         ("", 0, "the end", "a value"),
         ("class = 'a'", 6, "'='", "an operator"),
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn what_is_printed_reads_as_the_same() {
+fn printed_expressions_parse_to_the_same_tree() {
     for text in [
         "a && (b || c) && !(d && e)",
         "(a ? b : c) ? d : e ? f : g",
--- a/crates/yarrowspoke-expr/tests/sets.rs
+++ b/crates/yarrowspoke-expr/tests/sets.rs
@@ -25,30 +25,30 @@
 
 struct Names {
     classes: Vec<String>,
-    facts: Vec<Class>,
-    one: Vec<String>,
+    class_settings: Vec<Class>,
+    single_name: Vec<String>,
 }
 
 impl Names {
     fn new() -> Self {
         let names = ["safe", "other", "keyed", "zoned", "once"].map(str::to_owned).to_vec();
-        let facts = vec![
+        let class_settings = vec![
             class(Idempotency::Idempotent, DedupScope::All),
             class(Idempotency::Idempotent, DedupScope::All),
             class(Idempotency::Keyed, DedupScope::All),
             class(Idempotency::Keyed, DedupScope::Zone),
             class(Idempotency::AtMostOnce, DedupScope::All),
         ];
-        Self { classes: names, facts, one: vec!["a".into()] }
+        Self { classes: names, class_settings, single_name: vec!["a".into()] }
     }
 
     fn deployment(&self) -> Deployment<'_> {
         Deployment {
             class_names: &self.classes,
-            classes: &self.facts,
-            tenants: &self.one,
-            zones: &self.one,
-            kinds: &self.one,
+            classes: &self.class_settings,
+            tenants: &self.single_name,
+            zones: &self.single_name,
+            kinds: &self.single_name,
             max_attempts: 4,
             fronts: 2,
         }
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn of_first_match_one_counts_and_of_all_each() {
+fn first_match_applies_one_rule_and_all_applies_each() {
     let whens = ["class == 'x'", "path.startsWith('/a')", "true", "class == 'article'"];
     let r = request("/article/1");
     let mut set = compile(Order::First, &whens).unwrap();
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn the_tightest_bound_and_the_first_name_hold() {
+fn the_tightest_bound_and_the_first_name_apply() {
     let names = Names::new();
     let mut set = RuleSetSource { order: Order::All, ..RuleSetSource::default() };
     let mut add = |actions: RuleActions| {
@@ -98,8 +98,11 @@
     let mut set = RuleSet::compile(&set).unwrap();
     // The last rule would treat requests of an at-most-once class as safe.
     assert!(set.bind(&names.deployment()).is_err());
-    let deployment =
-        Deployment { class_names: &names.classes[..2], classes: &names.facts[..2], ..names.deployment() };
+    let deployment = Deployment {
+        class_names: &names.classes[..2],
+        classes: &names.class_settings[..2],
+        ..names.deployment()
+    };
     let faults = set.bind(&deployment).unwrap_err();
     assert!(faults[0].found.contains("\"once\"") && faults[0].expected.contains("safe, other"), "{faults:?}");
     let mut source = source(Order::All, &["true", "true"]);
@@ -125,11 +128,11 @@
 }
 
 #[test]
-fn nothing_is_ever_loosened() {
+fn no_action_weakens_the_guards_of_a_class() {
     // A class may only be treated as one that is at least as strict, whatever the condition leaves open. Otherwise a
     // request that must not run twice could be repeated.
     let names = Names::new();
-    for (when, class, right) in [
+    for (when, class, accepted) in [
         ("class == 'safe'", "other", true),
         ("class == 'safe'", "keyed", true),
         ("class == 'safe'", "once", true),
@@ -150,7 +153,7 @@
         ("true", "safe", false),
     ] {
         let mut set = RuleSet::compile(&actions(when, named(class))).unwrap();
-        assert_eq!(set.bind(&names.deployment()).is_ok(), right, "{when} as {class}");
+        assert_eq!(set.bind(&names.deployment()).is_ok(), accepted, "{when} as {class}");
     }
     let mut set = RuleSet::compile(&actions("true", named("once"))).unwrap();
     set.bind(&names.deployment()).unwrap();
@@ -171,12 +174,12 @@
 }
 
 #[test]
-fn what_can_never_hold_or_be_reached_is_reported() {
-    let warned = |order, whens: &[&str]| -> Vec<String> {
+fn rules_that_never_hold_or_are_shadowed_are_reported() {
+    let warnings_of = |order, whens: &[&str]| -> Vec<String> {
         let set = compile(order, whens).unwrap();
         set.warnings.iter().map(|w| w.text.clone()).collect()
     };
-    for never in [
+    for condition in [
         "class == 'a' && class == 'b'",
         "class == 'a' && class in ['b', 'c']",
         "class == 'a' && class != 'a'",
@@ -189,9 +192,12 @@
         "false",
         "class == 'a' && class == 'b' || repeat && !repeat",
     ] {
-        assert!(warned(Order::All, &[never]).iter().any(|w| w.contains("can never hold")), "{never}");
+        assert!(
+            warnings_of(Order::All, &[condition]).iter().any(|w| w.contains("can never hold")),
+            "{condition}"
+        );
     }
-    for (earlier, later, covers) in [
+    for (earlier, later, shadows) in [
         ("class == 'a'", "class == 'a' && repeat", true),
         ("class in ['a', 'b']", "class == 'a'", true),
         ("class in ['a', 'b']", "class in ['a', 'c']", false),
@@ -210,33 +216,33 @@
         ("1 / length < 5", "1 / length < 5 && repeat", false),
         ("length / 2 < 5", "length / 2 < 5 && repeat", true),
     ] {
-        let said = warned(Order::First, &[earlier, later]);
+        let warnings = warnings_of(Order::First, &[earlier, later]);
         assert_eq!(
-            said.iter().any(|w| w.contains("r1 is never reached: rule r0")),
-            covers,
+            warnings.iter().any(|w| w.contains("r1 is never reached: rule r0")),
+            shadows,
             "{earlier} | {later}"
         );
-        assert!(warned(Order::All, &[earlier, later]).is_empty(), "of all, each is reached");
+        assert!(warnings_of(Order::All, &[earlier, later]).is_empty(), "of all, each is reached");
     }
 }
 
 #[test]
-fn a_set_that_refuses_everything_says_so() {
+fn a_set_that_rejects_every_request_is_reported() {
     let names = Names::new();
     let refuse = RuleActions { refuse: Some(1), ..RuleActions::default() };
-    let said = |when: &str| {
+    let warnings = |when: &str| {
         let mut set = RuleSet::compile(&actions(when, refuse.clone())).unwrap();
         set.bind(&names.deployment()).unwrap();
         set.warnings.iter().map(|w| w.text.clone()).collect::<Vec<_>>().join("; ")
     };
-    assert!(said("true").contains("every request is refused"));
-    assert!(said("class in ['safe', 'once']").contains("every request of safe, once is refused"));
-    assert!(!said("class == 'safe' && repeat").contains("refused"));
-    assert!(said("class == 'sage'").contains("which the settings don't name"));
+    assert!(warnings("true").contains("every request is refused"));
+    assert!(warnings("class in ['safe', 'once']").contains("every request of safe, once is refused"));
+    assert!(!warnings("class == 'safe' && repeat").contains("refused"));
+    assert!(warnings("class == 'sage'").contains("which the settings don't name"));
 }
 
 #[test]
-fn names_once_and_no_empty_rule() {
+fn duplicate_names_empty_rules_and_too_many_rules_are_rejected() {
     let mut two = source(Order::First, &["true", "true"]);
     two.rules[1].name = "r0".into();
     assert!(RuleSet::compile(&two).err().unwrap()[0].expected.contains("rule 1 has it"));
@@ -250,7 +256,7 @@
 }
 
 #[test]
-fn a_request_over_the_bounds_is_known_before_it_is_looked_at() {
+fn requests_over_the_bounds_are_rejected() {
     let bounds = Bounds { max_target_bytes: 10, max_header_bytes: 3, ..Bounds::default() };
     assert_eq!(request("/123456789").check_size(&bounds), Ok(()));
     assert_eq!(request("/1234567890").check_size(&bounds), Err(TooLong::Target));
@@ -261,7 +267,7 @@
 }
 
 #[test]
-fn limits_have_keys_of_their_own_and_a_front_its_part() {
+fn limits_have_separate_keys_and_are_divided_among_fronts() {
     let names = Names::new();
     let limit = |key: Option<&str>| LimitSource { key: key.map(str::to_owned), rate: 10.0, burst: 8.0 };
     let mut two = source(Order::All, &["true", "true"]);
