--- a/crates/yarrowspoke-expr/src/check.rs
+++ b/crates/yarrowspoke-expr/src/check.rs
@@ -54,9 +54,9 @@
     /// Adds the term of `expr`.
     fn add(&mut self, expr: &Expr, term: Term) -> TermId {
         let id = self.pool.add(term);
-        let own = self.pool.facts(id).own_cost;
-        if own > self.costliest.0 {
-            self.costliest = (own, expr.at);
+        let cost = self.pool.facts(id).own_cost;
+        if cost > self.costliest.0 {
+            self.costliest = (cost, expr.at);
         }
         id
     }
@@ -91,19 +91,19 @@
                 Some(field) => Term::Field(field.1),
                 None => return Err(self.unknown(expr, name)),
             },
-            Kind::Index(of, at) => self.index(expr, of, at)?,
+            Kind::Index(operand, at) => self.index(expr, operand, at)?,
             Kind::Call { name, args, .. } => self.call(expr, name, args)?,
-            Kind::Unary(Unary::Not, of) => {
-                let id = self.check(of, Type::Bool)?;
+            Kind::Unary(Unary::Not, operand) => {
+                let id = self.check(operand, Type::Bool)?;
                 match self.pool.term(id) {
                     Term::Not(inner) => return Ok(*inner),
                     Term::Bool(b) => Term::Bool(!b),
                     _ => Term::Not(id),
                 }
             }
-            Kind::Unary(Unary::Neg, of) => {
-                let id = self.term(of)?;
-                let scalar = self.number(of, id)?;
+            Kind::Unary(Unary::Neg, operand) => {
+                let id = self.term(operand)?;
+                let scalar = self.number(operand, id)?;
                 let zero = self.pool.add(Term::Int(0, scalar));
                 Term::Arithmetic(ArithmeticOp::Sub, zero, id)
             }
@@ -145,9 +145,9 @@
         Fault::new(expr.at, name, format_args!("one of the fields: {}", known.join(", ")))
     }
 
-    fn index(&mut self, expr: &Expr, of: &Expr, at: &Expr) -> Result<Term, Fault> {
-        let Kind::Name(name) = &of.kind else {
-            return Err(Fault::new(of.at, of, "segments, query or headers before an index"));
+    fn index(&mut self, expr: &Expr, operand: &Expr, at: &Expr) -> Result<Term, Fault> {
+        let Kind::Name(name) = &operand.kind else {
+            return Err(Fault::new(operand.at, operand, "segments, query or headers before an index"));
         };
         match (name.as_str(), &at.kind) {
             ("segments", Kind::Int(n)) if (0..MAX_SEGMENTS as i64).contains(n) => Ok(Term::Segment(*n as u8)),
@@ -167,7 +167,7 @@
             }
             ("query", _) => Err(Fault::new(at.at, at, "a parameter's name as a string")),
             ("headers", _) => Err(Fault::new(at.at, at, "a header's name as a string")),
-            _ => Err(Fault::new(expr.at, of, "segments, query or headers before an index")),
+            _ => Err(Fault::new(expr.at, operand, "segments, query or headers before an index")),
         }
     }
 
--- a/crates/yarrowspoke-expr/src/index.rs
+++ b/crates/yarrowspoke-expr/src/index.rs
@@ -21,7 +21,7 @@
 impl LookupKey {
     fn text_term(&self) -> TermId {
         match self {
-            Self::OneOf(of, _) | Self::Prefix(of, _) => *of,
+            Self::OneOf(operand, _) | Self::Prefix(operand, _) => *operand,
         }
     }
 
@@ -245,11 +245,12 @@
 
     /// Returns the size in bytes.
     pub fn bytes(&self) -> usize {
-        let table = |t: &HashMap<Arc<str>, Vec<u32>>| {
+        let table_bytes = |t: &HashMap<Arc<str>, Vec<u32>>| {
             t.iter().map(|(k, r)| 64 + k.len() + 4 * r.capacity()).sum::<usize>()
         };
-        let of = |a: &TextIndex| table(&a.equals) + table(&a.prefixes) + 8 * a.lengths.len();
-        self.text_indexes.iter().map(of).sum::<usize>() + 8 * self.always_evaluated.len()
+        let text_index_bytes =
+            |a: &TextIndex| table_bytes(&a.equals) + table_bytes(&a.prefixes) + 8 * a.lengths.len();
+        self.text_indexes.iter().map(text_index_bytes).sum::<usize>() + 8 * self.always_evaluated.len()
     }
 }
 
@@ -259,10 +260,16 @@
 
 /// Returns, for each alternative of a condition, the lookups by which it can be indexed.
 fn lookup_keys(pool: &Pool, condition: TermId) -> Vec<Vec<LookupKey>> {
-    let of = |part: TermId| {
-        let among = allowed_texts(pool, part).map(|(of, texts)| LookupKey::OneOf(of, texts));
-        among.or_else(|| required_prefix(pool, part).map(|(of, text)| LookupKey::Prefix(of, text)))
+    let lookup_key_of = |part: TermId| {
+        let by_equality =
+            allowed_texts(pool, part).map(|(lookup_key_of, texts)| LookupKey::OneOf(lookup_key_of, texts));
+        by_equality.or_else(|| {
+            required_prefix(pool, part).map(|(lookup_key_of, text)| LookupKey::Prefix(lookup_key_of, text))
+        })
     };
     let alternatives = disjuncts(pool, condition);
-    alternatives.into_iter().map(|a| conjuncts(pool, a).into_iter().filter_map(of).collect()).collect()
+    alternatives
+        .into_iter()
+        .map(|a| conjuncts(pool, a).into_iter().filter_map(lookup_key_of).collect())
+        .collect()
 }
--- a/crates/yarrowspoke-expr/src/interpreter.rs
+++ b/crates/yarrowspoke-expr/src/interpreter.rs
@@ -100,7 +100,7 @@
             Kind::Text(t) => Value::Text(t.clone()),
             Kind::List(parts) => Value::List(parts.iter().map(|p| self.evaluate(p)).collect::<Option<_>>()?),
             Kind::Name(name) => self.name(name)?,
-            Kind::Index(of, at) => match (&of.kind, &at.kind) {
+            Kind::Index(operand, at) => match (&operand.kind, &at.kind) {
                 (Kind::Name(n), Kind::Int(at)) if n == "segments" => {
                     let found = self.segments().into_iter().nth(*at as usize);
                     found.map_or(Value::Absent, Value::Text)
@@ -114,8 +114,8 @@
                 _ => return None,
             },
             Kind::Call { name, args, .. } => self.call(name, args)?,
-            Kind::Unary(Unary::Not, of) => Value::Bool(!self.bool(of)?),
-            Kind::Unary(Unary::Neg, of) => match self.evaluate(of)? {
+            Kind::Unary(Unary::Not, operand) => Value::Bool(!self.bool(operand)?),
+            Kind::Unary(Unary::Neg, operand) => match self.evaluate(operand)? {
                 Value::Int(n) => Value::Int(0i64.checked_sub(n)?),
                 _ => return None,
             },
--- a/crates/yarrowspoke-expr/src/logic.rs
+++ b/crates/yarrowspoke-expr/src/logic.rs
@@ -28,13 +28,13 @@
 /// If a part restricts a text to a list of constants, returns the text and the constants.
 pub fn allowed_texts(pool: &Pool, id: TermId) -> Option<(TermId, Vec<Arc<str>>)> {
     match pool.term(id) {
-        Term::Eq(of, text) => match pool.term(*text) {
-            Term::Text(t) => Some((*of, vec![Arc::clone(t)])),
+        Term::Eq(operand, text) => match pool.term(*text) {
+            Term::Text(t) => Some((*operand, vec![Arc::clone(t)])),
             _ => None,
         },
-        Term::OneOf(of, all) => {
+        Term::OneOf(operand, all) => {
             let text = |c: &Const| if let Const::Text(t) = c { Some(Arc::clone(t)) } else { None };
-            Some((*of, all.iter().map(text).collect::<Option<_>>()?))
+            Some((*operand, all.iter().map(text).collect::<Option<_>>()?))
         }
         _ => None,
     }
@@ -43,8 +43,8 @@
 /// If a part requires a text to start with a constant, returns the text and the prefix.
 pub fn required_prefix(pool: &Pool, id: TermId) -> Option<(TermId, Arc<str>)> {
     match pool.term(id) {
-        Term::TextTest(TextTest::StartsWith, of, by) => match pool.term(*by) {
-            Term::Text(t) => Some((*of, Arc::clone(t))),
+        Term::TextTest(TextTest::StartsWith, operand, by) => match pool.term(*by) {
+            Term::Text(t) => Some((*operand, Arc::clone(t))),
             _ => None,
         },
         _ => None,
@@ -55,7 +55,7 @@
 fn allowed_range(pool: &Pool, id: TermId) -> Option<(TermId, i64, i64)> {
     let int = |id: &TermId| if let Term::Int(n, _) = pool.term(*id) { Some(*n) } else { None };
     match pool.term(id) {
-        Term::Eq(of, n) => int(n).map(|n| (*of, n, n)),
+        Term::Eq(operand, n) => int(n).map(|n| (*operand, n, n)),
         Term::Less(a, b) => match (int(a), int(b)) {
             (None, Some(n)) => Some((*a, i64::MIN, n.saturating_sub(1))),
             (Some(n), None) => Some((*b, n.saturating_add(1), i64::MAX)),
@@ -66,10 +66,10 @@
             (Some(n), None) => Some((*b, n, i64::MAX)),
             _ => None,
         },
-        Term::OneOf(of, all) => {
+        Term::OneOf(operand, all) => {
             let numbers = all.iter().map(|c| if let Const::Int(n) = c { Some(*n) } else { None });
             let numbers = numbers.collect::<Option<Vec<i64>>>()?;
-            Some((*of, *numbers.iter().min()?, *numbers.iter().max()?))
+            Some((*operand, *numbers.iter().min()?, *numbers.iter().max()?))
         }
         _ => None,
     }
@@ -85,21 +85,21 @@
         for id in &all {
             match pool.term(*id) {
                 Term::Bool(false) => return true,
-                Term::Not(of) if has.contains(of) => return true,
+                Term::Not(operand) if has.contains(operand) => return true,
                 _ => {}
             }
-            if let Some((of, texts)) = allowed_texts(pool, *id) {
-                let texts = match allowed.get(&of) {
+            if let Some((operand, texts)) = allowed_texts(pool, *id) {
+                let texts = match allowed.get(&operand) {
                     Some(known) => known.iter().filter(|t| texts.contains(t)).cloned().collect(),
                     None => texts,
                 };
                 if texts.is_empty() {
                     return true;
                 }
-                allowed.insert(of, texts);
+                allowed.insert(operand, texts);
             }
-            if let Some((of, min, max)) = allowed_range(pool, *id) {
-                let known = ranges.entry(of).or_insert((i64::MIN, i64::MAX));
+            if let Some((operand, min, max)) = allowed_range(pool, *id) {
+                let known = ranges.entry(operand).or_insert((i64::MIN, i64::MAX));
                 *known = (known.0.max(min), known.1.min(max));
                 if known.0 > known.1 {
                     return true;
@@ -108,14 +108,14 @@
         }
         // Compares the texts that are allowed with the required prefixes and the excluded texts.
         all.iter().any(|id| {
-            if let Some((of, prefix)) = required_prefix(pool, *id) {
+            if let Some((operand, prefix)) = required_prefix(pool, *id) {
                 return allowed
-                    .get(&of)
+                    .get(&operand)
                     .is_some_and(|texts| !texts.iter().any(|t| t.starts_with(prefix.as_ref())));
             }
             let Term::Not(not) = pool.term(*id) else { return false };
-            let Some((of, excluded)) = allowed_texts(pool, *not) else { return false };
-            allowed.get(&of).is_some_and(|texts| texts.iter().all(|t| excluded.contains(t)))
+            let Some((operand, excluded)) = allowed_texts(pool, *not) else { return false };
+            allowed.get(&operand).is_some_and(|texts| texts.iter().all(|t| excluded.contains(t)))
         })
     })
 }
@@ -156,7 +156,7 @@
 
 /// Returns whether evaluating a term yields a value for every request.
 fn always_has_value(pool: &Pool, id: TermId) -> bool {
-    let own = match pool.term(id) {
+    let operator_has_value = match pool.term(id) {
         Term::Arithmetic(_, _, b) => {
             // Division by a constant other than 0 and -1 neither overflows nor fails; only positive constants are
             // considered.
@@ -168,7 +168,7 @@
         }
         _ => true,
     };
-    own && pool.operands(id).iter().all(|p| always_has_value(pool, *p))
+    operator_has_value && pool.operands(id).iter().all(|p| always_has_value(pool, *p))
 }
 
 /// For each condition, returns the earlier one, if any, that holds whenever it does, so that with "first match" it is
@@ -182,17 +182,17 @@
     for (index, id) in conditions.iter().enumerate() {
         let parts = conjuncts(pool, *id);
         let keys = |part: TermId| -> Vec<(TermId, Option<Arc<str>>)> {
-            let about = allowed_texts(pool, part);
+            let text_test = allowed_texts(pool, part);
             let mut keys = vec![(part, None)];
-            if let Some((of, texts)) = &about {
-                keys.extend(texts.iter().map(|t| (*of, Some(Arc::clone(t)))));
+            if let Some((operand, texts)) = &text_test {
+                keys.extend(texts.iter().map(|t| (*operand, Some(Arc::clone(t)))));
             }
-            if let Some(of) = about.map(|a| a.0).or(required_prefix(pool, part).map(|p| p.0)) {
-                keys.push((of, None));
-            } else if let Some((of, ..)) = allowed_range(pool, part) {
-                keys.push((of, None));
-            } else if let Term::Not(of) = pool.term(part) {
-                keys.extend(allowed_texts(pool, *of).map(|t| (t.0, None)));
+            if let Some(operand) = text_test.map(|a| a.0).or(required_prefix(pool, part).map(|p| p.0)) {
+                keys.push((operand, None));
+            } else if let Some((operand, ..)) = allowed_range(pool, part) {
+                keys.push((operand, None));
+            } else if let Term::Not(operand) = pool.term(part) {
+                keys.extend(allowed_texts(pool, *operand).map(|t| (t.0, None)));
             }
             keys
         };
@@ -222,14 +222,16 @@
             None => first_always_true = first_always_true.or(Some(index)),
             Some(part) => {
                 let key = match allowed_texts(pool, *part) {
-                    Some((of, texts)) if texts.len() == 1 => (of, Some(Arc::clone(&texts[0]))),
-                    Some((of, _)) => (of, None),
+                    Some((operand, texts)) if texts.len() == 1 => (operand, Some(Arc::clone(&texts[0]))),
+                    Some((operand, _)) => (operand, None),
                     None => match pool.term(*part) {
-                        Term::Not(of) => allowed_texts(pool, *of).map_or((*part, None), |t| (t.0, None)),
+                        Term::Not(operand) => {
+                            allowed_texts(pool, *operand).map_or((*part, None), |t| (t.0, None))
+                        }
                         _ => required_prefix(pool, *part)
                             .map(|p| p.0)
                             .or(allowed_range(pool, *part).map(|r| r.0))
-                            .map_or((*part, None), |of| (of, None)),
+                            .map_or((*part, None), |operand| (operand, None)),
                     },
                 };
                 rules_by_key.entry(key).or_default().push(index);
--- a/crates/yarrowspoke-expr/src/parse.rs
+++ b/crates/yarrowspoke-expr/src/parse.rs
@@ -60,11 +60,11 @@
 
     /// Consumes the next token if it is `symbol`.
     fn accept(&mut self, symbol: &str) -> bool {
-        let is = matches!(self.peek(), Some(Spanned { token: Token::Symbol(s), .. }) if *s == symbol);
-        if is {
+        let accepted = matches!(self.peek(), Some(Spanned { token: Token::Symbol(s), .. }) if *s == symbol);
+        if accepted {
             self.next();
         }
-        is
+        accepted
     }
 
     fn next_span(&mut self) -> Span {
@@ -215,21 +215,21 @@
             _ => return self.postfix(),
         };
         self.next();
-        let of = self.nested(Self::unary)?;
-        let to = of.at.to;
+        let operand = self.nested(Self::unary)?;
+        let to = operand.at.to;
         // A number with its sign is one constant.
-        let kind = match (op, &of.kind) {
+        let kind = match (op, &operand.kind) {
             (Unary::Neg, Kind::Int(n)) => Kind::Int(n.wrapping_neg()),
             (Unary::Neg, Kind::Duration(n)) => Kind::Duration(n.wrapping_neg()),
-            _ => Kind::Unary(op, Box::new(of)),
+            _ => Kind::Unary(op, Box::new(operand)),
         };
         self.node(from, to, kind)
     }
 
     fn postfix(&mut self) -> Result<Expr, Fault> {
-        let mut of = self.primary()?;
+        let mut operand = self.primary()?;
         loop {
-            let from = of.at.from;
+            let from = operand.at.from;
             let kind;
             let to;
             if self.accept(".") {
@@ -239,17 +239,17 @@
                 self.next();
                 self.expect("(", "behind a function's name")?;
                 let (mut args, end) = self.delimited_list(")")?;
-                args.insert(0, of);
+                args.insert(0, operand);
                 kind = Kind::Call { name: name.clone(), args, method: true };
                 to = end;
             } else if self.accept("[") {
                 let at = self.expr()?;
                 to = self.expect("]", "behind an index")?;
-                kind = Kind::Index(Box::new(of), Box::new(at));
+                kind = Kind::Index(Box::new(operand), Box::new(at));
             } else {
-                return Ok(of);
+                return Ok(operand);
             }
-            of = self.node(from, to, kind)?;
+            operand = self.node(from, to, kind)?;
         }
     }
 
--- a/crates/yarrowspoke-expr/src/program.rs
+++ b/crates/yarrowspoke-expr/src/program.rs
@@ -226,8 +226,8 @@
                 self.program.instructions[jump_to_end] = Instruction::Jump(self.next_address());
                 return cost;
             }
-            Term::OrValue(of, other) => {
-                let mut cost = own + self.emit_term(of);
+            Term::OrValue(operand, other) => {
+                let mut cost = own + self.emit_term(operand);
                 let jump_if_present = self.emit(Instruction::JumpIfPresent(0));
                 self.depth -= 1;
                 cost += self.emit_term(other);
@@ -583,8 +583,8 @@
                 }
                 Instruction::LoadMemo(slot, to) => {
                     add_steps!(1);
-                    let (operand, value) = memo[slot as usize];
-                    if operand == *request_number {
+                    let (memoized_for, value) = memo[slot as usize];
+                    if memoized_for == *request_number {
                         stack.push(value);
                         at = to as usize;
                     }
--- a/crates/yarrowspoke-expr/src/regexes.rs
+++ b/crates/yarrowspoke-expr/src/regexes.rs
@@ -41,14 +41,14 @@
     pub fn search(&self, text: &[u8]) -> (bool, usize) {
         let dfa = &self.automaton;
         let Ok(mut state) = dfa.start_state(&Start::new().anchored(Anchored::No)) else { return (false, 0) };
-        for (n, byte) in text.iter().enumerate() {
+        for (index, byte) in text.iter().enumerate() {
             state = dfa.next_state(state, *byte);
             if dfa.is_special_state(state) {
                 if dfa.is_match_state(state) {
-                    return (true, n + 1);
+                    return (true, index + 1);
                 }
                 if dfa.is_dead_state(state) || dfa.is_quit_state(state) {
-                    return (false, n + 1);
+                    return (false, index + 1);
                 }
             }
         }
--- a/crates/yarrowspoke-expr/src/ruling.rs
+++ b/crates/yarrowspoke-expr/src/ruling.rs
@@ -87,8 +87,8 @@
 /// Fault in the actions of a rule: what was found and what was expected.
 pub type ActionFault = (String, String);
 
-/// Resolves the names in the actions of a rule that can hold for the classes in `possible_classes`, or for any class if it is
-/// `None`.
+/// Resolves the names in the actions of a rule that can hold for the classes in `possible_classes`, or for any class if
+/// it is `None`.
 pub fn bind(
     actions: &RuleActions,
     possible_classes: Option<&BTreeSet<String>>,
--- a/crates/yarrowspoke-expr/src/set.rs
+++ b/crates/yarrowspoke-expr/src/set.rs
@@ -521,9 +521,9 @@
     pub fn matches_sequential(&self, scratch: &mut Scratch, request: &Request) -> Vec<usize> {
         scratch.machine.start_request(&self.program, request);
         let mut matching = Vec::new();
-        for (n, rule) in self.rules.iter().enumerate() {
+        for (rule_index, rule) in self.rules.iter().enumerate() {
             if scratch.machine.run::<false>(&self.program, rule.when, request) == Ok(Value::Bool(true)) {
-                matching.push(n);
+                matching.push(rule_index);
                 if self.order == Order::First {
                     break;
                 }
@@ -691,22 +691,25 @@
 
 fn warnings(pool: &Pool, source: &RuleSetSource, conditions: &[TermId]) -> Vec<Warning> {
     let mut warnings = Vec::new();
-    let name = |n: usize| &source.rules[n].name;
-    for (n, condition) in conditions.iter().enumerate() {
+    let name = |rule_index: usize| &source.rules[rule_index].name;
+    for (rule_index, condition) in conditions.iter().enumerate() {
         if is_never_true(pool, *condition) {
-            warnings.push(Warning { rule: Some(n), text: format!("rule {} can never hold", name(n)) });
+            warnings.push(Warning {
+                rule: Some(rule_index),
+                text: format!("rule {} can never hold", name(rule_index)),
+            });
         }
     }
     if source.order == Order::First {
         let (shadowed, complete) = find_shadowed(pool, conditions);
-        for (n, earlier) in shadowed.into_iter().enumerate() {
+        for (rule_index, earlier) in shadowed.into_iter().enumerate() {
             if let Some(earlier) = earlier {
                 let text = format!(
                     "rule {} is never reached: rule {} holds wherever it does",
-                    name(n),
+                    name(rule_index),
                     name(earlier)
                 );
-                warnings.push(Warning { rule: Some(n), text });
+                warnings.push(Warning { rule: Some(rule_index), text });
             }
         }
         if !complete {
