--- a/crates/yarrowspoke-store/src/store.rs
+++ b/crates/yarrowspoke-store/src/store.rs
@@ -1,4 +1,4 @@
-//! The ledger and the snapshot on disk, over redb.
+//! Stores the ledger and the snapshot on disk in a redb database.
 
 use crate::disk::{Disk, DiskFile};
 use crate::ledger::{
@@ -19,28 +19,28 @@
 
 const META: TableDefinition<&str, u128> = TableDefinition::new("meta");
 const LEDGER: TableDefinition<u128, &[u8]> = TableDefinition::new("ledger");
-const DUE: TableDefinition<(u64, u128), ()> = TableDefinition::new("due");
+const EXPIRY_INDEX: TableDefinition<(u64, u128), ()> = TableDefinition::new("due");
 const SNAPSHOT: TableDefinition<u8, &[u8]> = TableDefinition::new("known");
 
-/// Bytes that the engine may cache.
-const CACHE: usize = 1024 * 1024;
-/// Bytes that a record takes beside its frame: keys of two tables and their pages' own.
-const BESIDE: u64 = 96;
-/// Records that are forgotten in one group at the most: a step of bounded length.
-const FORGET_AT_ONCE: usize = 256;
+/// Maximum bytes that the engine caches.
+const CACHE_BYTES: usize = 1024 * 1024;
+/// Bytes that a record takes in addition to its frame: keys in two tables and their share of page overhead.
+const RECORD_OVERHEAD_BYTES: u64 = 96;
+/// Maximum number of records deleted in one group, so that a commit takes bounded time.
+const MAX_DELETIONS_PER_GROUP: usize = 256;
 
-/// Why a store cannot be used. Nothing has been written.
+/// Why a store cannot be used. Nothing was written to it.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// The disk failed.
     #[error("store: {0}")]
     Io(#[from] io::Error),
-    /// The engine refuses the file.
+    /// The engine cannot open the file.
     #[error("store: the ledger cannot be read: {0}")]
     Engine(String),
-    /// What is there contradicts itself.
+    /// The files of the store are inconsistent.
     #[error("store: found {found}, expected {expected}")]
-    Contradiction {
+    Inconsistent {
         /// What was found.
         found: String,
         /// What was expected.
@@ -49,8 +49,8 @@
 }
 
 impl StoreError {
-    fn found(found: impl Into<String>, expected: impl Into<String>) -> Self {
-        Self::Contradiction { found: found.into(), expected: expected.into() }
+    fn inconsistent(found: impl Into<String>, expected: impl Into<String>) -> Self {
+        Self::Inconsistent { found: found.into(), expected: expected.into() }
     }
 }
 
@@ -74,65 +74,65 @@
     redb::CompactionError
 );
 
-/// What was found when a store was opened.
+/// State of a store when it was opened.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Report {
-    /// It was made just now.
+    /// Whether the store was just created.
     #[serde(rename = "made")]
     pub created: bool,
-    /// How many times it has been opened.
+    /// Number of times that the store has been opened.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// The last commit.
+    /// Number of the last commit.
     pub commit: u64,
-    /// Records.
+    /// Number of records.
     pub records: u64,
-    /// Those whose end is not known.
+    /// Number of records whose outcome is unknown.
     pub in_doubt: u64,
-    /// Those with a final answer.
+    /// Number of records with a final answer.
     pub done: u64,
-    /// Those known not to have run.
+    /// Number of records of requests known not to have run.
     pub not_run: u64,
     /// Bytes of all records.
     pub bytes: u64,
-    /// Bytes of the ledger's file.
+    /// Size of the ledger's file in bytes.
     pub file_bytes: u64,
-    /// A snapshot is there.
+    /// Whether there is a snapshot.
     pub snapshot: bool,
 }
 
-/// Ids and lives of requests without an end.
+/// Ids and incarnations of requests whose outcome is unknown.
 pub type UnknownOutcomes = Vec<(u128, u64)>;
 
-/// One thing to be done; all of a group are durable together.
+/// An operation. All operations of a group become durable together.
 #[derive(Clone, Debug)]
 pub enum Op {
-    /// A request comes; it is kept for so long after its end.
+    /// Records the intent of a request.
     Begin {
-        /// Its id.
+        /// Id of the request.
         id: u128,
-        /// Microseconds.
+        /// How long the record is kept, in microseconds.
         retention: Micros,
     },
-    /// It has ended.
+    /// Records the end of a request.
     End {
-        /// Its id.
+        /// Id of the request.
         id: u128,
-        /// How.
+        /// Final state of the request.
         state: State,
-        /// Microseconds.
+        /// How long the record is kept from now on, in microseconds.
         retention: Micros,
     },
-    /// What the front knows now.
+    /// Replaces the snapshot of the front's state.
     Snapshot(Snapshot),
 }
 
-/// What an operation came to.
+/// Result of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpResult {
-    /// Of a request that came.
+    /// Decision on a request, for [`Op::Begin`].
     Decided(Decision),
-    /// Of anything else.
+    /// The operation is recorded; for all others.
     Recorded,
 }
 
@@ -165,13 +165,13 @@
 pub struct Store {
     database: Database,
     file: Arc<dyn DiskFile>,
-    /// `None` while it is only read.
+    /// `None` while the store is open for reading only.
     mark: Option<Arc<dyn DiskFile>>,
     last: Mark,
     max_bytes: u64,
-    kept: Micros,
-    /// Danger: after a failed sync nobody knows what is on disk, and a later one may claim success. Nothing is promised
-    /// any more until the store is opened anew.
+    last_time: Micros,
+    /// Error of the first failed commit. After a failed sync the contents of the disk are unknown, and a later sync may
+    /// report success. Nothing is acknowledged any more until the store is opened again.
     broken: Option<String>,
 }
 
@@ -184,38 +184,38 @@
     }
 }
 
-fn engine(file: &Arc<dyn DiskFile>) -> Result<Database, StoreError> {
+fn open_engine(file: &Arc<dyn DiskFile>) -> Result<Database, StoreError> {
     let open = || {
         let mut builder = Database::builder();
-        builder.set_cache_size(CACHE).set_check_integrity_on_open(true);
+        builder.set_cache_size(CACHE_BYTES).set_check_integrity_on_open(true);
         builder.create_with_backend(Backend(Arc::clone(file)))
     };
-    // A damaged file must never end the program, whatever it makes of the engine.
+    // A damaged file must not end the program, even if it makes the engine panic.
     match catch_unwind(AssertUnwindSafe(open)) {
         Ok(opened) => Ok(opened?),
-        Err(_) => Err(StoreError::Engine("the engine panicked on it".to_owned())),
+        Err(_) => Err(StoreError::Engine("the engine panicked on the file".to_owned())),
     }
 }
 
 impl Store {
-    /// Opens the store of a directory, or makes it with the id `fresh`; all bytes of records together stay within `most`.
+    /// Opens the store in a directory, or creates it with the id `new_id`. The records never take more than `max_bytes`.
     pub fn open(
         disk: &dyn Disk,
-        fresh: u128,
+        new_id: u128,
         max_bytes: u64,
         now: Micros,
     ) -> Result<(Self, Report), StoreError> {
-        let there = disk.exists("ledger")?;
-        let promised = Self::promised(disk)?;
-        let created = match (promised, there) {
+        let exists = disk.exists("ledger")?;
+        let acknowledged = Self::last_acknowledged(disk)?;
+        let created = match (acknowledged, exists) {
             (Some(mark), false) => {
                 let found = format!("no ledger beside a mark of commit {}", mark.commit);
-                return Err(StoreError::found(found, "both files, or neither"));
+                return Err(StoreError::inconsistent(found, "both files, or neither"));
             }
-            // Danger: the engine writes as it opens, and what is refused must stay as it was found. So it is tried first
-            // with its writes kept in memory.
+            // The engine writes while it opens a file, and a refused file must stay as it was found. So the file is first
+            // opened with all writes kept in memory.
             (_, true) => {
-                Self::opened(Arc::new(Overlay::over(disk.open("ledger")?)?), promised)?;
+                Self::open_file(Arc::new(Overlay::new(disk.open("ledger")?)?), acknowledged)?;
                 false
             }
             (None, false) => true,
@@ -224,68 +224,69 @@
             disk.remove("ledger.new")?;
         }
         if created {
-            Self::make(disk, fresh, now)?;
+            Self::create(disk, new_id, now)?;
         }
-        let (mut store, mut report) = Self::opened(disk.open("ledger")?, promised)?;
+        let (mut store, mut report) = Self::open_file(disk.open("ledger")?, acknowledged)?;
         let mark = disk.open("mark")?;
-        if promised.is_none() {
-            // Danger: a front that dies between the first commit and its mark would leave a ledger whose mark seems lost.
+        if acknowledged.is_none() {
+            // If a front crashed between the first commit and its mark, the ledger would look as if its mark were lost.
             store.last.write(mark.as_ref())?;
         }
         (store.mark, store.max_bytes) = (Some(mark), max_bytes);
-        store.kept = advance_clock(store.kept, now);
+        store.last_time = advance_clock(store.last_time, now);
         store.last.incarnation += 1;
-        store.group(&[], now)?;
+        store.commit_group(&[], now)?;
         (report.created, report.incarnation, report.commit) =
             (created, store.last.incarnation, store.last.commit);
         Ok((store, report))
     }
 
-    /// Opens a ledger's file and reads all of it.
-    fn opened(file: Arc<dyn DiskFile>, promised: Option<Mark>) -> Result<(Self, Report), StoreError> {
-        let database = engine(&file)?;
-        let last = promised.unwrap_or(Mark { commit: 0, incarnation: 0, id: 0 });
-        let mut store = Self { last, database, file, mark: None, max_bytes: 0, kept: 0, broken: None };
-        // A damaged file must never end the program.
-        let checked = catch_unwind(AssertUnwindSafe(|| store.check(promised)));
+    /// Opens a ledger file and reads all of it.
+    fn open_file(file: Arc<dyn DiskFile>, acknowledged: Option<Mark>) -> Result<(Self, Report), StoreError> {
+        let database = open_engine(&file)?;
+        let last = acknowledged.unwrap_or(Mark { commit: 0, incarnation: 0, id: 0 });
+        let mut store = Self { last, database, file, mark: None, max_bytes: 0, last_time: 0, broken: None };
+        // A damaged file must not end the program.
+        let checked = catch_unwind(AssertUnwindSafe(|| store.check(acknowledged)));
         let report = match checked {
             Ok(report) => report?,
-            Err(_) => return Err(StoreError::Engine("the engine panicked on it".to_owned())),
+            Err(_) => return Err(StoreError::Engine("the engine panicked on the file".to_owned())),
         };
         Ok((store, report))
     }
 
-    /// Reads a store without changing it: what is in it, or why it is refused.
+    /// Reads a store without changing it and returns its state, or why it is refused.
     pub fn verify(disk: &dyn Disk) -> Result<Report, StoreError> {
         Self::read_only(disk).map(|read| read.1)
     }
 
-    /// The same, with the snapshot, and the ids and lives of requests without an end.
+    /// Like [`Store::verify`], and also returns the snapshot and the requests whose outcome is unknown.
     pub fn inspect(disk: &dyn Disk) -> Result<(Report, Option<Snapshot>, UnknownOutcomes), StoreError> {
         let (store, report) = Self::read_only(disk)?;
-        let mut doubts = Vec::new();
+        let mut in_doubt = Vec::new();
         for entry in store.database.begin_read()?.open_table(LEDGER)?.iter()? {
             let (key, value) = entry?;
-            let record = Self::read(key.value(), value.value())?;
+            let record = Self::decode_record(key.value(), value.value())?;
             if record.state == State::Intended {
-                doubts.push((key.value(), record.incarnation));
+                in_doubt.push((key.value(), record.incarnation));
             }
         }
-        Ok((report, store.snapshot()?, doubts))
+        Ok((report, store.snapshot()?, in_doubt))
     }
 
     fn read_only(disk: &dyn Disk) -> Result<(Self, Report), StoreError> {
         if !disk.exists("ledger")? || !disk.exists("mark")? {
-            return Err(StoreError::found("no ledger or no mark", "a store"));
+            return Err(StoreError::inconsistent("no ledger or no mark", "a store"));
         }
-        let promised = Self::promised(disk)?;
-        let (store, mut report) = Self::opened(Arc::new(Overlay::over(disk.open("ledger")?)?), promised)?;
+        let acknowledged = Self::last_acknowledged(disk)?;
+        let (store, mut report) =
+            Self::open_file(Arc::new(Overlay::new(disk.open("ledger")?)?), acknowledged)?;
         (report.incarnation, report.commit) = (store.last.incarnation, store.last.commit);
         Ok((store, report))
     }
 
-    /// The mark that counts, if there is one that can be read.
-    fn promised(disk: &dyn Disk) -> Result<Option<Mark>, StoreError> {
+    /// Returns the mark of the last acknowledged commit, if a readable one exists.
+    fn last_acknowledged(disk: &dyn Disk) -> Result<Option<Mark>, StoreError> {
         if !disk.exists("mark")? {
             return Ok(None);
         }
@@ -293,7 +294,10 @@
         for slot in Mark::read(disk.open("mark")?.as_ref())? {
             match slot {
                 Slot::OtherFormat(format) => {
-                    return Err(StoreError::found(format!("format {format}"), format!("format {FORMAT}")));
+                    return Err(StoreError::inconsistent(
+                        format!("format {format}"),
+                        format!("format {FORMAT}"),
+                    ));
                 }
                 Slot::Valid(mark) => best = best.max(Some(mark)),
                 Slot::Empty => {}
@@ -302,11 +306,11 @@
         Ok(best)
     }
 
-    /// Makes a ledger under another name, and gives it its own once it is whole.
-    fn make(disk: &dyn Disk, id: u128, now: Micros) -> Result<(), StoreError> {
+    /// Creates a ledger under a temporary name and renames it once it is complete.
+    fn create(disk: &dyn Disk, id: u128, now: Micros) -> Result<(), StoreError> {
         let file = disk.open("ledger.new")?;
         file.set_len(0)?;
-        let database = engine(&file)?;
+        let database = open_engine(&file)?;
         let write = database.begin_write()?;
         {
             let mut meta = write.open_table(META)?;
@@ -322,7 +326,7 @@
             meta.insert("bytes", 0)?;
             meta.insert("records", 0)?;
             write.open_table(LEDGER)?;
-            write.open_table(DUE)?;
+            write.open_table(EXPIRY_INDEX)?;
             write.open_table(SNAPSHOT)?;
         }
         write.commit()?;
@@ -332,138 +336,144 @@
         Ok(())
     }
 
-    /// Holds the ledger against the mark, and reads all of it.
-    fn check(&mut self, promised: Option<Mark>) -> Result<Report, StoreError> {
+    /// Compares the ledger with the mark and reads all of it.
+    fn check(&mut self, acknowledged: Option<Mark>) -> Result<Report, StoreError> {
         let read = self.database.begin_read()?;
         let meta = read.open_table(META)?;
-        let number = |name: &str| -> Result<u128, StoreError> {
+        let meta_value = |name: &str| -> Result<u128, StoreError> {
             let value = meta.get(name)?.map(|v| v.value());
-            value.ok_or_else(|| StoreError::found(format!("no {name} in the ledger"), "one"))
+            value.ok_or_else(|| StoreError::inconsistent(format!("no {name} in the ledger"), "one"))
         };
-        let format = number("format")?;
+        let format = meta_value("format")?;
         if format != u128::from(FORMAT) {
-            return Err(StoreError::found(format!("format {format}"), format!("format {FORMAT}")));
+            return Err(StoreError::inconsistent(format!("format {format}"), format!("format {FORMAT}")));
         }
-        let (id, incarnation, commit) = (number("id")?, number("life")? as u64, number("commit")? as u64);
-        match promised {
+        let (id, incarnation, commit) =
+            (meta_value("id")?, meta_value("life")? as u64, meta_value("commit")? as u64);
+        match acknowledged {
             Some(mark) if mark.id != id => {
                 let found = format!("a ledger of store {id:032x}");
-                return Err(StoreError::found(found, format!("{:032x}, as the mark says", mark.id)));
+                return Err(StoreError::inconsistent(found, format!("{:032x}, as the mark says", mark.id)));
             }
             Some(mark) if commit < mark.commit || incarnation < mark.incarnation => {
-                let found = format!("a ledger that ends at commit {commit} of life {incarnation}");
+                let found = format!("a ledger that ends at commit {commit} of incarnation {incarnation}");
                 let expected =
-                    format!("commit {} of life {}, which was promised", mark.commit, mark.incarnation);
-                return Err(StoreError::found(found, expected));
+                    format!("commit {} of incarnation {}, which was promised", mark.commit, mark.incarnation);
+                return Err(StoreError::inconsistent(found, expected));
             }
             None if commit > 0 => {
                 let found = format!("no readable mark beside a ledger of commit {commit}");
-                return Err(StoreError::found(found, "the mark that tells what was promised"));
+                return Err(StoreError::inconsistent(found, "the mark of the last acknowledged commit"));
             }
             _ => {}
         }
         let mut report = Report { file_bytes: self.file.len()?, ..Report::default() };
-        let due = read.open_table(DUE)?;
+        let expiry_index = read.open_table(EXPIRY_INDEX)?;
         for entry in read.open_table(LEDGER)?.iter()? {
             let (key, value) = entry?;
-            let record = Self::read(key.value(), value.value())?;
+            let record = Self::decode_record(key.value(), value.value())?;
             report.records += 1;
-            report.bytes += value.value().len() as u64 + BESIDE;
+            report.bytes += value.value().len() as u64 + RECORD_OVERHEAD_BYTES;
             match record.state {
                 State::Intended => report.in_doubt += 1,
                 State::Done(_) => report.done += 1,
                 State::NotRun => report.not_run += 1,
             }
-            if due.get((record.expires_at, key.value()))?.is_none() {
-                let found = format!("record {:032x} without its place in the order of time", key.value());
-                return Err(StoreError::found(found, "one"));
+            if expiry_index.get((record.expires_at, key.value()))?.is_none() {
+                let found = format!("record {:032x} without an entry in the expiry index", key.value());
+                return Err(StoreError::inconsistent(found, "one"));
             }
         }
-        if due.len()? != report.records || number("records")? as u64 != report.records {
-            let found = format!("{} records, {} in the order of time", report.records, due.len()?);
-            return Err(StoreError::found(found, format!("{} of both", number("records")?)));
+        if expiry_index.len()? != report.records || meta_value("records")? as u64 != report.records {
+            let found = format!("{} records, {} in the expiry index", report.records, expiry_index.len()?);
+            return Err(StoreError::inconsistent(found, format!("{} in each", meta_value("records")?)));
         }
         report.snapshot = Self::snapshot_in(&read.open_table(SNAPSHOT)?)?.is_some();
-        self.kept = number("clock")? as u64;
+        self.last_time = meta_value("clock")? as u64;
         (self.last.id, self.last.incarnation, self.last.commit) = (id, incarnation, commit);
         Ok(report)
     }
 
-    fn read(key: u128, bytes: &[u8]) -> Result<Record, StoreError> {
+    fn decode_record(key: u128, bytes: &[u8]) -> Result<Record, StoreError> {
         unframe(&key.to_le_bytes(), bytes)
-            .map_err(|e| StoreError::found(format!("record {key:032x} of {e}"), "a sound record"))
+            .map_err(|e| StoreError::inconsistent(format!("record {key:032x} with {e}"), "a valid record"))
     }
 
     fn snapshot_in(table: &impl ReadableTable<u8, &'static [u8]>) -> Result<Option<Snapshot>, StoreError> {
         let Some(bytes) = table.get(0)? else { return Ok(None) };
-        let known = unframe(&[0], bytes.value());
-        known.map(Some).map_err(|e| StoreError::found(format!("a snapshot of {e}"), "a sound one"))
+        let snapshot = unframe(&[0], bytes.value());
+        snapshot
+            .map(Some)
+            .map_err(|e| StoreError::inconsistent(format!("a snapshot with {e}"), "a valid one"))
     }
 
-    /// What the front knew, if it was ever written.
+    /// Returns the snapshot of the front's state, if one was ever written.
     pub fn snapshot(&self) -> Result<Option<Snapshot>, StoreError> {
         Self::snapshot_in(&self.database.begin_read()?.open_table(SNAPSHOT)?)
     }
 
-    /// The id of a request by its class and what identifies it.
+    /// Returns the id of a request, by its class and its identity within the class.
     pub fn id_of(&self, class: &str, identity: &str) -> u128 {
         id_of(self.last.id, class, identity)
     }
 
-    /// The store's own id.
+    /// Returns the id of the store.
     pub fn id(&self) -> u128 {
         self.last.id
     }
 
-    /// Does all of a group in one durable commit. Nothing of it may be told before this returns; after an error nothing of
-    /// it counts, nor of any later group.
+    /// Carries out a group of operations in one durable commit. No result may be used before this returns. After an error
+    /// neither this group nor any later one is acknowledged.
     pub fn commit(&mut self, ops: &[Op], now: Micros) -> Result<Vec<OpResult>, StoreError> {
         if let Some(why) = &self.broken {
             return Err(StoreError::Engine(why.clone()));
         }
-        let done = self.group(ops, now);
+        let done = self.commit_group(ops, now);
         if let Err(e) = &done {
-            self.broken = Some(format!("nothing is promised since: {e}"));
+            self.broken = Some(format!("nothing is acknowledged since: {e}"));
         }
         done
     }
 
-    fn group(&mut self, ops: &[Op], now: Micros) -> Result<Vec<OpResult>, StoreError> {
-        let now = advance_clock(self.kept, now);
+    fn commit_group(&mut self, ops: &[Op], now: Micros) -> Result<Vec<OpResult>, StoreError> {
+        let now = advance_clock(self.last_time, now);
         let mut out = Vec::with_capacity(ops.len());
         let next = Mark { commit: self.last.commit + 1, ..self.last };
         let mut write = self.database.begin_write()?;
         write.set_durability(Durability::Immediate)?;
         {
             let mut ledger = write.open_table(LEDGER)?;
-            let mut due = write.open_table(DUE)?;
+            let mut expiry_index = write.open_table(EXPIRY_INDEX)?;
             let mut meta = write.open_table(META)?;
             let mut bytes = meta.get("bytes")?.map_or(0, |v| v.value()) as u64;
             for op in ops {
                 match op {
                     Op::Begin { id, retention } => {
                         let record = match ledger.get(*id)? {
-                            Some(bytes) => Some(Self::read(*id, bytes.value())?),
+                            Some(bytes) => Some(Self::decode_record(*id, bytes.value())?),
                             None => None,
                         };
-                        let first_expiry = due.first()?.map(|d| d.0.value().0);
-                        let room = SpaceUsage { bytes, max_bytes: self.max_bytes, first_expiry };
+                        let first_expiry = expiry_index.first()?.map(|d| d.0.value().0);
+                        let space = SpaceUsage { bytes, max_bytes: self.max_bytes, first_expiry };
                         let intent = Record {
                             state: State::Intended,
                             incarnation: next.incarnation,
                             expires_at: now.saturating_add(*retention),
                         };
-                        let needs =
-                            if record.is_some() { 0 } else { frame(&[], &intent).len() as u64 + BESIDE };
-                        let ruling = decide(record.as_ref(), next.incarnation, now, &room, needs);
-                        if ruling == Decision::Admit {
-                            put_record(&mut ledger, &mut due, &mut bytes, *id, &intent)?;
+                        let required = if record.is_some() {
+                            0
+                        } else {
+                            frame(&[], &intent).len() as u64 + RECORD_OVERHEAD_BYTES
+                        };
+                        let decision = decide(record.as_ref(), next.incarnation, now, &space, required);
+                        if decision == Decision::Admit {
+                            put_record(&mut ledger, &mut expiry_index, &mut bytes, *id, &intent)?;
                         }
-                        out.push(OpResult::Decided(ruling));
+                        out.push(OpResult::Decided(decision));
                     }
                     Op::End { id, state, retention } => {
                         let record = match ledger.get(*id)? {
-                            Some(bytes) => Some(Self::read(*id, bytes.value())?),
+                            Some(bytes) => Some(Self::decode_record(*id, bytes.value())?),
                             None => None,
                         };
                         let ended = record_end(
@@ -473,29 +483,29 @@
                             now.saturating_add(*retention),
                         );
                         if let Some(ended) = ended {
-                            put_record(&mut ledger, &mut due, &mut bytes, *id, &ended)?;
+                            put_record(&mut ledger, &mut expiry_index, &mut bytes, *id, &ended)?;
                         }
                         out.push(OpResult::Recorded);
                     }
-                    Op::Snapshot(known) => {
-                        write.open_table(SNAPSHOT)?.insert(0, frame(&[0], known).as_slice())?;
+                    Op::Snapshot(snapshot) => {
+                        write.open_table(SNAPSHOT)?.insert(0, frame(&[0], snapshot).as_slice())?;
                         out.push(OpResult::Recorded);
                     }
                 }
             }
-            // Retention, in steps of bounded length.
-            let over: Vec<(u64, u128)> = due
+            // Deletes expired records, a bounded number at a time.
+            let expired: Vec<(u64, u128)> = expiry_index
                 .range(..=(now, u128::MAX))?
-                .take(FORGET_AT_ONCE)
+                .take(MAX_DELETIONS_PER_GROUP)
                 .map(|entry| entry.map(|e| e.0.value()))
                 .collect::<Result<_, _>>()?;
-            for (expires_at, id) in over {
+            for (expires_at, id) in expired {
                 let framed = ledger.get(id)?.map(|v| v.value().to_vec());
                 let Some(framed) = framed else { continue };
-                if may_expire(&Self::read(id, &framed)?, next.incarnation, now) {
+                if may_expire(&Self::decode_record(id, &framed)?, next.incarnation, now) {
                     ledger.remove(id)?;
-                    due.remove((expires_at, id))?;
-                    bytes = bytes.saturating_sub(framed.len() as u64 + BESIDE);
+                    expiry_index.remove((expires_at, id))?;
+                    bytes = bytes.saturating_sub(framed.len() as u64 + RECORD_OVERHEAD_BYTES);
                 }
             }
             let records = u128::from(ledger.len()?);
@@ -510,53 +520,58 @@
             }
         }
         write.commit()?;
-        // Promised only once the witness is durable too.
+        // The commit is acknowledged only once its mark is durable too.
         match &self.mark {
             Some(mark) => next.write(mark.as_ref())?,
-            None => return Err(StoreError::found("a store that is only read", "one that may be written")),
+            None => {
+                return Err(StoreError::inconsistent(
+                    "a store opened for reading only",
+                    "one opened for writing",
+                ))
+            }
         }
-        (self.last, self.kept) = (next, now);
+        (self.last, self.last_time) = (next, now);
         Ok(out)
     }
 
-    /// Gives back what the ledger's file holds of forgotten records; whether anything was given back.
+    /// Releases the file space of deleted records. Returns whether anything was released.
     pub fn compact(&mut self) -> Result<bool, StoreError> {
         Ok(self.database.compact()?)
     }
 
-    /// Bytes of the ledger's file.
+    /// Returns the size of the ledger's file in bytes.
     pub fn file_bytes(&self) -> io::Result<u64> {
         self.file.len()
     }
 
-    /// The commit promised last.
+    /// Returns the mark of the last acknowledged commit.
     pub fn last_mark(&self) -> Mark {
         self.last
     }
 }
 
 type Ledger<'t> = redb::Table<'t, u128, &'static [u8]>;
-type Order<'t> = redb::Table<'t, (u64, u128), ()>;
+type ExpiryIndex<'t> = redb::Table<'t, (u64, u128), ()>;
 
 fn put_record(
     ledger: &mut Ledger,
-    due: &mut Order,
+    expiry_index: &mut ExpiryIndex,
     bytes: &mut u64,
     id: u128,
     record: &Record,
 ) -> Result<(), StoreError> {
     let framed = frame(&id.to_le_bytes(), record);
     let old = ledger.insert(id, framed.as_slice())?.map(|o| o.value().to_vec());
-    *bytes += framed.len() as u64 + BESIDE;
+    *bytes += framed.len() as u64 + RECORD_OVERHEAD_BYTES;
     if let Some(old) = old {
-        *bytes = bytes.saturating_sub(old.len() as u64 + BESIDE);
-        due.remove((Store::read(id, &old)?.expires_at, id))?;
+        *bytes = bytes.saturating_sub(old.len() as u64 + RECORD_OVERHEAD_BYTES);
+        expiry_index.remove((Store::decode_record(id, &old)?.expires_at, id))?;
     }
-    due.insert((record.expires_at, id), ())?;
+    expiry_index.insert((record.expires_at, id), ())?;
     Ok(())
 }
 
-/// The id of a request in the store of id `store`, by its class and what identifies it.
+/// Returns the id of a request in the store with id `store`, by its class and its identity within the class.
 pub fn id_of(store: u128, class: &str, identity: &str) -> u128 {
     let mut hasher = SipHasher13::new_with_keys(store as u64, (store >> 64) as u64);
     hasher.write(class.as_bytes());
@@ -565,48 +580,48 @@
     hasher.finish128().as_u128()
 }
 
-/// The end of a request as it is recorded, with an answer kept up to `most` bytes.
-pub fn served_state(answer: &[u8], most: usize) -> State {
-    State::Done(Outcome::Served((answer.len() <= most).then(|| answer.to_vec())))
+/// Returns the state to record for a served request, with its answer if that has at most `max_bytes`.
+pub fn served_state(answer: &[u8], max_bytes: usize) -> State {
+    State::Done(Outcome::Served((answer.len() <= max_bytes).then(|| answer.to_vec())))
 }
 
-/// A file whose changes stay in memory, so that an engine may work on it without touching it.
+/// A file whose changes stay in memory, so that an engine can use it without modifying the file on disk.
 #[derive(Debug)]
 struct Overlay {
-    under: Arc<dyn DiskFile>,
-    changed: Mutex<Changed>,
+    file: Arc<dyn DiskFile>,
+    state: Mutex<OverlayState>,
 }
 
 #[derive(Debug)]
-struct Changed {
+struct OverlayState {
     len: u64,
-    /// Bytes of the file below that still count: what lies beyond was cut away once.
-    under: u64,
+    /// Bytes of the underlying file that are still valid; those beyond were truncated at some time.
+    valid_bytes: u64,
     pages: BTreeMap<u64, Vec<u8>>,
 }
 
-const PAGE: u64 = 4_096;
+const PAGE_BYTES: u64 = 4_096;
 
 impl Overlay {
-    fn over(under: Arc<dyn DiskFile>) -> io::Result<Self> {
-        let len = under.len()?;
-        Ok(Self { under, changed: Mutex::new(Changed { len, under: len, pages: BTreeMap::new() }) })
+    fn new(file: Arc<dyn DiskFile>) -> io::Result<Self> {
+        let len = file.len()?;
+        Ok(Self { file, state: Mutex::new(OverlayState { len, valid_bytes: len, pages: BTreeMap::new() }) })
     }
 
-    fn changed(&self) -> MutexGuard<'_, Changed> {
-        self.changed.lock().unwrap_or_else(PoisonError::into_inner)
+    fn state(&self) -> MutexGuard<'_, OverlayState> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// One page as it stands now; zeros past the end.
-    fn page(&self, changed: &Changed, number: u64) -> io::Result<Vec<u8>> {
-        if let Some(page) = changed.pages.get(&number) {
+    /// Returns the current contents of a page, with zeros past the end.
+    fn page(&self, state: &OverlayState, number: u64) -> io::Result<Vec<u8>> {
+        if let Some(page) = state.pages.get(&number) {
             return Ok(page.clone());
         }
-        let mut page = vec![0; PAGE as usize];
-        let from = number * PAGE;
-        let there = changed.under.saturating_sub(from).min(PAGE) as usize;
-        if there > 0 {
-            self.under.read(from, &mut page[..there])?;
+        let mut page = vec![0; PAGE_BYTES as usize];
+        let from = number * PAGE_BYTES;
+        let available = state.valid_bytes.saturating_sub(from).min(PAGE_BYTES) as usize;
+        if available > 0 {
+            self.file.read(from, &mut page[..available])?;
         }
         Ok(page)
     }
@@ -614,20 +629,20 @@
 
 impl DiskFile for Overlay {
     fn len(&self) -> io::Result<u64> {
-        Ok(self.changed().len)
+        Ok(self.state().len)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        let changed = self.changed();
-        if offset + out.len() as u64 > changed.len {
+        let state = self.state();
+        if offset + out.len() as u64 > state.len {
             return Err(io::ErrorKind::UnexpectedEof.into());
         }
         let mut done = 0;
         while done < out.len() {
             let at = offset + done as u64;
-            let (number, within) = (at / PAGE, (at % PAGE) as usize);
-            let page = self.page(&changed, number)?;
-            let take = (PAGE as usize - within).min(out.len() - done);
+            let (number, within) = (at / PAGE_BYTES, (at % PAGE_BYTES) as usize);
+            let page = self.page(&state, number)?;
+            let take = (PAGE_BYTES as usize - within).min(out.len() - done);
             out[done..done + take].copy_from_slice(&page[within..within + take]);
             done += take;
         }
@@ -635,32 +650,32 @@
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        let mut changed = self.changed();
+        let mut state = self.state();
         let mut done = 0;
         while done < data.len() {
             let at = offset + done as u64;
-            let (number, within) = (at / PAGE, (at % PAGE) as usize);
-            let mut page = self.page(&changed, number)?;
-            let take = (PAGE as usize - within).min(data.len() - done);
+            let (number, within) = (at / PAGE_BYTES, (at % PAGE_BYTES) as usize);
+            let mut page = self.page(&state, number)?;
+            let take = (PAGE_BYTES as usize - within).min(data.len() - done);
             page[within..within + take].copy_from_slice(&data[done..done + take]);
-            changed.pages.insert(number, page);
+            state.pages.insert(number, page);
             done += take;
         }
-        changed.len = changed.len.max(offset + data.len() as u64);
+        state.len = state.len.max(offset + data.len() as u64);
         Ok(())
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        let mut changed = self.changed();
-        if len < changed.len {
-            let cut = len / PAGE;
-            let mut page = self.page(&changed, cut)?;
-            page[(len % PAGE) as usize..].fill(0);
-            changed.pages.retain(|number, _| *number < cut);
-            changed.pages.insert(cut, page);
-            changed.under = changed.under.min(len);
+        let mut state = self.state();
+        if len < state.len {
+            let cut = len / PAGE_BYTES;
+            let mut page = self.page(&state, cut)?;
+            page[(len % PAGE_BYTES) as usize..].fill(0);
+            state.pages.retain(|number, _| *number < cut);
+            state.pages.insert(cut, page);
+            state.valid_bytes = state.valid_bytes.min(len);
         }
-        changed.len = len;
+        state.len = len;
         Ok(())
     }
 
