--- a/crates/yarrowspoke-front/tests/moved_discovery.rs
+++ b/crates/yarrowspoke-front/tests/moved_discovery.rs
@@ -1,12 +1,12 @@
 //! New configurations move discovery while machines drain.
 //!
-//! Seen in pre-production, 185 and 210 fronts: 4.6 to 4.9 s after a SIGHUP that moved discovery, fronts sent requests to machines
-//! that had drained. What discovery has counts as told 4 s after SIGHUP; their own list ended in time, but the word of other
-//! fronts did not: it lasted 6 s from when discovery had confirmed it to them, whatever the front that took it had been told
-//! meanwhile. Fronts needed it because each waited for its turn in a spread of 8 s before it called the new address.
-//! Proof: a drain between another front's call and the end of the 4 s is sent to by just those fronts that stood on that word
-//! (first test), and so is what fronts vouch for that have not moved (second). The third guards what lies beside it: an answer
-//! written before the signal is neither lost with the watch nor taken for the new address's.
+//! Observed in pre-production with 185 and 210 fronts: 4.6 to 4.9 s after a SIGHUP that moved discovery, fronts sent requests to
+//! machines that had drained. A front counts as notified of discovery's list 4 s after SIGHUP. The fronts' own leases expired in
+//! time, but confirmations by peers did not: they lasted 6 s from when discovery had confirmed the list to the peer, whatever the
+//! receiving front had been notified of meanwhile. Fronts relied on them because calls to the new address are spread over 8 s.
+//! The first test drains machines between another front's call and the end of the 4 s, where only fronts with such a confirmation
+//! sent requests; the second does the same with confirmations by fronts that have not moved. The third checks that a response
+//! written before the signal is neither lost with the watch nor taken for one from the new address.
 
 mod common;
 mod crowded;
@@ -17,22 +17,22 @@
 const FRONTS: usize = 12;
 const STAYING: usize = 4;
 const LEAVING: usize = 4;
-/// Time in which discovery answers one call of each front.
+/// Time in which discovery serves one call of each front.
 const ALL_CALLS: Duration = Duration::from_secs(2);
-/// Time for the fleet to come up and hold a watch each.
+/// Time for all fronts to start and open a watch.
 const SETTLED: Duration = Duration::from_millis(1_500);
 /// A client's pause between requests.
 const PACE: Duration = Duration::from_millis(50);
 
-/// What the fleet is put through; times are counted from the move.
-struct Day {
-    /// The old address goes on answering, without a word of what changes.
+/// A test scenario; times are relative to the move.
+struct Scenario {
+    /// The old address keeps answering, but reports no changes.
     old_is_silent: bool,
-    /// When each front is told of the new address.
-    told: fn(usize) -> Duration,
+    /// When each front is notified of the new address.
+    notified_at: fn(usize) -> Duration,
     /// When the machines that leave begin to drain.
     drains: Duration,
-    /// For how long the fleet is watched.
+    /// How long the fleet is observed.
     watched: Duration,
 }
 
@@ -55,55 +55,55 @@
         Self { servers, old, fleet, loads }
     }
 
-    /// They serve on: a front that still sends to them learns nothing of it by itself.
+    /// Lists machines as draining. They keep serving, so a front that still sends to them cannot notice it by itself.
     fn drain(&self, discovery: &BusyDiscovery) {
         let leaving: Vec<&Server> = self.servers[STAYING..].iter().collect();
         discovery.change(&leaving, "draining");
     }
 
-    /// Nothing came late, and in the last seconds everything was answered and nearly all served.
+    /// Checks that no request was late, and that in the last seconds all were answered and nearly all served.
     fn check(&self, discovery: &BusyDiscovery) {
         let end = Instant::now();
         let late = late_requests(discovery, &self.servers, &self.fleet.fronts);
         let (from, to) = (end - Duration::from_secs(3), end - Duration::from_secs(1));
         let Tally { served, answered: replied, asked } = Tally::of(&self.loads, from, to);
-        let told = format!(
+        let summary = format!(
             "{} late requests, the first {:?}; {served} served and {replied} answered of {asked} at the end",
             late.len(),
             late.first(),
         );
-        eprintln!("{told}");
-        assert!(late.is_empty(), "{told}");
-        assert!(replied == asked && served * 10 >= asked * 9, "{told}");
+        eprintln!("{summary}");
+        assert!(late.is_empty(), "{summary}");
+        assert!(replied == asked && served * 10 >= asked * 9, "{summary}");
     }
 }
 
-fn play(day: &Day) {
+fn play(scenario: &Scenario) {
     let mut stage = Stage::set();
     let old = stage.old.clone();
-    let new = if day.old_is_silent { BusyDiscovery::start(&stage.servers) } else { old.clone() };
+    let new = if scenario.old_is_silent { BusyDiscovery::start(&stage.servers) } else { old.clone() };
     new.serve(Service::InTurn, ALL_CALLS / FRONTS as u32);
     let begun = Instant::now();
-    let mut steps: Vec<Duration> = (0..FRONTS).map(day.told).collect();
-    steps.push(day.drains);
+    let mut steps: Vec<Duration> = (0..FRONTS).map(scenario.notified_at).collect();
+    steps.push(scenario.drains);
     steps.sort();
     steps.dedup();
     for step in steps {
         sleep_until(begun + step);
-        stage.fleet.move_to(&new, |front| (day.told)(front) == step);
-        if step == day.drains {
+        stage.fleet.move_to(&new, |front| (scenario.notified_at)(front) == step);
+        if step == scenario.drains {
             stage.drain(&new);
         }
     }
-    sleep_until(begun + day.watched);
+    sleep_until(begun + scenario.watched);
     stage.check(&new);
 }
 
 #[test]
 fn the_word_of_fronts_that_called_the_new_address_lasts_no_longer_than_what_counts_as_told() {
-    play(&Day {
+    play(&Scenario {
         old_is_silent: false,
-        told: |_| Duration::ZERO,
+        notified_at: |_| Duration::ZERO,
         drains: Duration::from_millis(3_500),
         watched: Duration::from_secs(10),
     });
@@ -111,9 +111,9 @@
 
 #[test]
 fn nor_does_that_of_fronts_that_have_not_moved() {
-    play(&Day {
+    play(&Scenario {
         old_is_silent: true,
-        told: |front| if front % 4 == 3 { Duration::from_secs(6) } else { Duration::ZERO },
+        notified_at: |front| if front % 4 == 3 { Duration::from_secs(6) } else { Duration::ZERO },
         drains: Duration::from_millis(300),
         watched: Duration::from_secs(14),
     });
@@ -121,7 +121,7 @@
 
 #[test]
 fn what_was_written_before_a_move_is_taken_and_does_not_stand_for_the_new_address() {
-    // The change and the signal are both there when the processes run again, whichever is looked at first.
+    // Both the change and the signal are pending when the processes resume, in whichever order they are handled.
     let mut stage = Stage::set();
     let discovery = stage.old.clone();
     discovery.serve(Service::InTurn, ALL_CALLS / FRONTS as u32);
--- a/crates/yarrowspoke-front/tests/parsers.rs
+++ b/crates/yarrowspoke-front/tests/parsers.rs
@@ -1,4 +1,5 @@
-//! The parsers under every cut, under noise and at their limits. The seed is fixed: the same verdict each time.
+//! Tests of the parsers with input split at any point, with random bytes and at their limits. The seed is fixed, so every run
+//! gives the same result.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -119,7 +120,7 @@
 
 #[test]
 fn two_framings_or_two_lengths_are_refused() {
-    // Danger: two readers that disagree on where a message ends take bytes of one for another.
+    // Two readers that disagree on where a message ends would take bytes of one message for another.
     for fields in [
         "Content-Length: 3\r\nContent-Length: 4",
         "Content-Length: 3\r\nTransfer-Encoding: chunked",
@@ -203,7 +204,7 @@
     assert!(parse_load_report("depth=-1,mean_ms=1", &fields).is_empty());
 }
 
-/// A line of a list.
+/// Returns one line of a list.
 fn line(n: usize) -> String {
     format!(r#"{{"name":"s-{n}","address":"127.0.0.{n}:5000","status":"up","since_ms":0,"build":41}}"#)
 }
