--- a/crates/yarrowspoke-front/tests/acceptance.rs
+++ b/crates/yarrowspoke-front/tests/acceptance.rs
@@ -1,5 +1,5 @@
-//! Sentences of the acceptance days that sockets can show, each forced: the peers are scripted. Which sentence each
-//! stands for is in `docs/results.md`, "Final acceptance".
+//! Tests of the acceptance criteria that can be shown over sockets, with scripted remote parties. `docs/results.md`, "Final
+//! acceptance", lists the criterion of each test.
 
 mod common;
 mod scripted;
@@ -10,12 +10,12 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// A connection that comes up late is waited for, where nothing else ends it sooner.
+/// Sets a connect timeout that is long enough for connections that are established late.
 fn patient(stage: Stage) -> Stage {
     stage.told("\"ConnectTimeoutUs\": 250000", "\"ConnectTimeoutUs\": 8000000")
 }
 
-/// The call's first attempt goes to `first`; then only `next` is left. The first attempt is handed back.
+/// Sends a call whose first attempt goes to `first`, then lists only `next` as ready; returns the first attempt's connection.
 fn out_then_moved(watch: &mut Wire, first: &Peer, next: SocketAddr, client: &mut Wire, call: &str) -> Wire {
     client.write(call);
     let mut line = first.connection();
@@ -30,14 +30,14 @@
 
 #[test]
 fn a_keyed_call_whose_next_connection_comes_up_late_is_not_written_once_its_key_is_forgotten() {
-    // Danger: the machines drop repeats of a key for a while only; what comes after that runs again.
+    // Machines deduplicate a key for a limited time; an attempt that arrives later runs again.
     let (first, late) = (Peer::start(), LatePeer::start());
     let keyed = r#""Effect": "by_key", "DedupScope": "all", "WindowUs": 900000"#;
     let stage = patient(Stage::set(EMPTY)).told(r#""Effect": "once""#, keyed);
     let (program, mut watch) = stage.watched(&[&first]);
     let mut client = program.client();
     let line = out_then_moved(&mut watch, &first, late.address, &mut client, &post(&unique_id(), "9.0"));
-    // It may have run. The next attempt is allowed and begins at once; its connection comes up a second later.
+    // It may have run. The next attempt is allowed and starts at once; its connection is established a second later.
     line.ends_now();
     wait_until("the next attempt connects", || late.is_tried());
     let late = late.open();
@@ -47,7 +47,7 @@
         }
         client.has_news()
     });
-    // Failed, and not refused: that would promise that trying again is harmless.
+    // The call fails instead of being refused: a refusal would promise that a retry is harmless.
     let answer = client.message().unwrap();
     assert!(answer.start().contains(" 502 "), "{answer:?}");
 }
@@ -83,7 +83,7 @@
         let after = line.split("took=").nth(1).unwrap();
         after.split(|c: char| !c.is_ascii_digit()).next().unwrap().parse::<f64>().unwrap() / 1e6
     };
-    // Those before it went to the other machine, which a slow test may make the front take for silent.
+    // Earlier ones went to the other machine, which the front may take for silent if the test is slow.
     let connecting = std::iter::repeat_with(|| took(program.logs("connected"))).find(|t| *t > 0.9).unwrap();
     assert!(told > 0.0 && told <= 9.0 - connecting, "told {told} s after {connecting} s");
     line.answer("x");
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_client_that_leaves_while_its_attempt_connects_takes_it_along() {
-    // Danger: work that nobody waits for, begun after the close.
+    // No work may start after the client has closed its connection.
     let late = LatePeer::start();
     let stage = patient(Stage::set(EMPTY));
     let program = stage.start();
@@ -113,9 +113,9 @@
 
 #[test]
 fn a_client_that_leaves_before_its_first_attempt_gets_none() {
-    // Danger: what waits for a machine is sent on as soon as one appears.
+    // A request that waits for a machine is sent as soon as one appears.
     let machine = Peer::start();
-    // A request waits for half its aim where a machine is listed that may come back.
+    // A request waits for half its latency target if a listed machine may return.
     let aim = "\"AimUs\": 1500000, \"DeadlineUs\": 5000000";
     let stage = Stage::set(EMPTY).told(aim, "\"AimUs\": 20000000, \"DeadlineUs\": 20000000");
     let program = stage.start();
@@ -126,7 +126,7 @@
     gone.iter_mut().zip(&ids).for_each(|(client, id)| client.write(&post(id, "9.0")));
     let (left, mut stays) = (gone.len(), program.client());
     gone.into_iter().for_each(Wire::ends_now);
-    // All that went before the list comes is with the front before it.
+    // Everything sent before the list arrives reaches the front before it.
     stays.write(&post("stays", "9.0"));
     watch.answer(&listing(8, false, &[up(0, &machine)]));
     assert!(watch.message().unwrap().start().contains("from=8"));
@@ -142,11 +142,11 @@
 
 #[test]
 fn a_request_that_was_never_sent_on_is_refused_and_not_failed() {
-    // Danger: a failure promises nothing, though nothing has run; whoever gets it can't come again.
+    // A failure does not promise that nothing has run, so the client could not retry.
     let late = LatePeer::start();
     let never_up = listing(7, true, &[entry("s-0", late.address, "up", 41, 0)]);
     let none = listing(7, true, &[]);
-    // No machine; connections that are given up one after another; one that is still on its way at the end.
+    // No machine; connections that time out one after another; one that is still being established at the end.
     for (list, stage, budget) in [
         (&none, Stage::set(EMPTY), "9.0"),
         (&never_up, Stage::set(EMPTY), "9.0"),
@@ -168,7 +168,7 @@
 
 #[test]
 fn an_answer_that_breaks_off_is_none_and_what_the_client_gets_states_its_length() {
-    // Danger: half an answer served for a whole one.
+    // Half a response must not be served as a whole one.
     let machine = Peer::start();
     let stage = Stage::set(EMPTY);
     let (program, _watch) = stage.watched(&[&machine]);
@@ -192,7 +192,7 @@
         let answer = client.message().unwrap();
         assert!(answer.start().contains(" 502 "), "{cut:?}: {answer:?}");
         assert_eq!(answer.field("content-length"), Some(answer.body.len().to_string().as_str()));
-        // One that may be repeated is asked for again, and served whole.
+        // An idempotent call is retried and served whole.
         client.write(&get(&unique_id(), "9.0"));
         let mut line = machine.connection();
         assert!(line.message().is_some());
@@ -209,7 +209,7 @@
 
 // ---- Ready after a start -------------------------------------------------------------------------------------
 
-/// A front to which lists are pushed, with one machine in its configuration.
+/// Starts a front with pushed lists and one machine in its configuration.
 fn pushed(machine: &Peer) -> (Stage, Program) {
     let known = listing(3, true, &[up(0, machine)]);
     let stage = Stage::set(&known).told("\"ask\"", "\"push\"").told("\"AskWithinUs\": 10000000, ", "");
@@ -239,7 +239,7 @@
 
 #[test]
 fn a_new_front_does_not_wait_for_one_slow_and_spoilt_answer_after_another() {
-    // Danger: a call that goes on until the next is due never fails, and nobody is served.
+    // A call that lasts until the next one is due would never fail, and the front would never be ready.
     let machine = Peer::start();
     let (stage, program) = pushed(&machine);
     let (mut calls, mut open) = (0, None::<(Wire, Instant)>);
@@ -254,7 +254,7 @@
             call.offer("noise\r\n\r\n");
         }
     }
-    // Two take longer than that; another may begin before it is seen to be ready.
+    // Two calls take longer than the limit; another may start before the front is seen to be ready.
     assert!((1..=3).contains(&calls), "ready only after {calls} calls");
 }
 
@@ -266,8 +266,8 @@
         let line =
             |n| format!(r#"{{"name":"s-{n}","address":"{}","status":"up","build":41}}"#, machine.address);
         let lines: Vec<_> = (0..many).map(line).collect();
-        // The call after a whole list goes over the same connection, from the version that it has just got; one that
-        // stalled on its way, as a busy machine may make it, is asked for anew.
+        // The call after a snapshot uses the same connection, from the version just received; a call that stalled, as on a
+        // busy host, is repeated.
         let mut watch = loop {
             let mut call = stage.discovery.connection();
             assert!(call.message().unwrap().start().contains("from=3&hold_ms=0"));
--- a/crates/yarrowspoke-front/tests/crossings.rs
+++ b/crates/yarrowspoke-front/tests/crossings.rs
@@ -1,4 +1,4 @@
-//! Moments in which two events cross, forced: the peers are scripted, and the test decides which comes first.
+//! Tests of race conditions: the remote parties are scripted, and each test decides which of two events comes first.
 //! `docs/design/crossings.md` lists them all.
 
 mod common;
@@ -16,8 +16,8 @@
 
 // ---- Start and stop ------------------------------------------------------------------------------------------
 
-/// Starts the program with a configuration that it waits for; `then` is done while it waits.
-fn held_at_its_start(stage: &Stage, then: impl FnOnce(&Program)) -> Program {
+/// Starts the program with a configuration that it blocks on; `then` runs while it is blocked.
+fn start_blocked_on_config(stage: &Stage, then: impl FnOnce(&Program)) -> Program {
     let path = temp_file("held.json", "");
     std::fs::remove_file(&path).unwrap();
     assert!(Command::new("mkfifo").arg(&path).status().unwrap().success());
@@ -33,21 +33,21 @@
 
 #[test]
 fn a_signal_before_the_front_serves_does_not_kill_it() {
-    // Danger: the default action of both ends the program; a front that dies of a reload has crashed.
+    // The default action of both signals ends the process; a front that ends on a reload has crashed.
     let stage = Stage::set(EMPTY);
-    let program = held_at_its_start(&stage, |p| p.signal("HUP"));
+    let program = start_blocked_on_config(&stage, |p| p.signal("HUP"));
     program.logs("files read again");
     assert!(program.is_up());
     let stage = Stage::set(EMPTY);
-    let mut program = held_at_its_start(&stage, |p| p.signal("TERM"));
+    let mut program = start_blocked_on_config(&stage, |p| p.signal("TERM"));
     program.logs("stopping");
     assert!(program.wait().success());
 }
 
 #[test]
 fn who_waits_to_be_accepted_as_the_last_connection_ends_is_answered() {
-    // Danger: a request written to a connection that this machine has accepted is taken; at the program's end it
-    // would be reset.
+    // The kernel has already accepted the connection and the request written to it; when the process exits it would be
+    // reset.
     let machine = Peer::start();
     let (stage, beside) = (Stage::set(EMPTY), Stage::set(EMPTY));
     let (mut other, _watch_beside) = beside.watched(&[]);
@@ -58,8 +58,8 @@
     assert!(line.message().is_some());
     program.signal("TERM");
     program.logs("stopping");
-    // Nobody is left but for the time in which new ones still come; it stands still over the end of that. The time is
-    // over for certain once another front, told to stop later, has ended by it.
+    // No client is left, but new connections are accepted for a while; the process is paused beyond that time. The time is
+    // certainly over once another front, which was stopped later, has ended.
     line.answer("first");
     assert!(status(&mut client).contains(" 200 ") && client.ends());
     program.halt();
@@ -89,7 +89,7 @@
     program.logs("stopping");
     program.signal("TERM");
     program.signal("HUP");
-    // The second half of a request that had begun still comes.
+    // The second half of a request that had begun still arrives.
     let mut half = program.client();
     let request = post(&unique_id(), "8.0");
     half.write(&request[..60]);
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_watch_that_falls_silent_is_open_again_before_its_news_count_as_told() {
-    // Danger: what it misses counts as told 2 s after its wait, and is acted against from then on.
+    // The front counts as notified of what it misses 2 s after the hold time of its call.
     let machines = [Peer::start(), Peer::start()];
     let stage = Stage::set(EMPTY).told("\"AskWithinUs\": 10000000", "\"AskWithinUs\": 1000000");
     let (program, silent) = stage.watched(&[&machines[0], &machines[1]]);
@@ -134,7 +134,7 @@
 
 #[test]
 fn a_list_that_is_pushed_is_watched_as_well_and_had_before_anybody_is_served() {
-    // Danger: over sockets nothing comes unasked, and what discovery has counts as told from the first moment.
+    // Over sockets no list arrives without a call, and the front counts as notified of discovery's list from the start.
     let machine = Peer::start();
     let known = listing(3, true, &[entry("s-9", machine.address, "up", 41, 0)]);
     for silent in [false, true] {
@@ -145,7 +145,7 @@
         program.logs("serves on");
         assert!(!program.is_up());
         if silent {
-            // One that cannot be had holds nobody up for long.
+            // An unavailable list does not delay readiness for long.
             drop(watch);
         } else {
             watch.answer(&listing(4, false, &[]));
@@ -158,7 +158,7 @@
 
 #[test]
 fn where_the_version_goes_back_the_whole_list_is_asked_for() {
-    // Danger: changes since a version that discovery never had are no changes to the list held.
+    // Changes since a version that discovery never had do not apply to the held list.
     let machines = [Peer::start(), Peer::start()];
     let stage = Stage::set(EMPTY);
     let (program, mut watch) = stage.watched(&[&machines[0]]);
@@ -175,7 +175,7 @@
 
 #[test]
 fn changes_whose_watch_ends_before_they_are_handed_over_are_asked_for_again() {
-    // Danger: a version taken on before its lines are handed over is never asked for again.
+    // A version that is recorded before its lines are delivered would never be requested again.
     use futures_lite::future::{block_on, poll_once, race};
     use yarrowspoke_front::{config, input::Input, net::list::Discovery};
     let peer = Peer::start();
@@ -191,8 +191,8 @@
         let asked = peer.connection().message().unwrap();
         asked.start().to_owned()
     });
-    // The driver is busy; the watch is ended, as a reload does, while its lines wait for room: it has heard discovery
-    // once the whole answer is read, and hands it over in the same turn.
+    // The driver is busy; the watch is ended, as by a reload, while its lines wait for space in the channel. The response
+    // counts as received once it is read whole, and is delivered in the same poll.
     let first = discovery.supersede_watches();
     block_on(race(std::rc::Rc::clone(&discovery).watch(first, to.clone()), async {
         while discovery.last_answered_at().is_none() {
@@ -216,7 +216,7 @@
 
 #[test]
 fn a_connection_in_use_as_its_machine_changes_is_not_used_for_the_next() {
-    // Danger: what comes back under an id, or at an address, is another machine or build.
+    // A machine that returns under an id, or at an address, is a different machine or build.
     for change in [("up", 41, 1_000_000), ("up", 42, 0), ("draining", 41, 0)] {
         let machine = Peer::start();
         let stage = Stage::set(EMPTY);
@@ -237,7 +237,7 @@
 
 #[test]
 fn a_second_answer_that_comes_late_is_nobody_elses() {
-    // Danger: the next request on the connection is served with what was made for the one before.
+    // The next request on the connection would be answered with the response to the one before.
     let machine = Peer::start();
     let stage = Stage::set(EMPTY);
     let (program, _watch) = stage.watched(&[&machine]);
@@ -247,7 +247,7 @@
         first.write(&get(&unique_id(), "9.0"));
         let mut used = machine.connection();
         assert!(used.message().is_some());
-        // The answer and the next request come in one turn: the program stands still meanwhile.
+        // The response and the next request arrive in one poll: the process is paused meanwhile.
         program.halt();
         used.answer("first");
         second.write(&get(&unique_id(), "9.0"));
@@ -265,7 +265,7 @@
                 break None;
             }
         };
-        // Only now the copy comes, with the next request on its way.
+        // The duplicate arrives only now, with the next request in flight.
         used.answer("first");
         let mut other = fresh_line.unwrap_or(used);
         other.answer("second");
@@ -278,7 +278,7 @@
 
 #[test]
 fn the_answer_to_a_vote_lifts_no_cap_that_was_lowered_meanwhile() {
-    // Danger: answers and news come on two connections; an answer written before the news is read after them.
+    // Vote replies and updates arrive on two connections; a reply written before an update may be read after it.
     let (earlier, newer) = (Peer::start(), Peer::start());
     let stage = Stage::set(EMPTY).told("\"AyesNeeded\": 1", "\"AyesNeeded\": 2");
     let (program, mut watch) = stage.watched(&[&earlier]);
@@ -288,7 +288,7 @@
     let on_trial = entry("s-1", newer.address, "up", 42, 0);
     watch.answer(&listing(8, false, &[on_trial, entry("s-0", earlier.address, "removed", 41, 0)]));
     assert!(watch.message().unwrap().start().contains("from=8"));
-    // Requests that are served, until a vote is on its way; its answer waits.
+    // Requests are served until a vote is in flight; the reply to it is delayed.
     let mut lines: Vec<Wire> = Vec::new();
     let mut ask = |program: &Program| {
         let mut client = program.client();
@@ -322,7 +322,7 @@
     program.logs("phase=RollingBack");
     wait_until("nothing goes to the build any more", || !ask(&program).contains(" 200 "));
     vote.write("OK 42 0 canary 1.0 900\r\n");
-    // It is closed once its answer is read.
+    // The connection is closed once the reply is read.
     assert!(vote.ends());
     for _ in 0..20 {
         let answer = ask(&program);
--- a/crates/yarrowspoke-front/tests/sockets.rs
+++ b/crates/yarrowspoke-front/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The program, started and spoken to over loopback sockets. No verdict hangs on speed.
+//! Tests of the running program over loopback sockets. No result depends on speed.
 
 mod common;
 
@@ -29,7 +29,7 @@
 
 #[test]
 fn what_never_ran_goes_elsewhere_and_what_may_have_run_twice_does_not() {
-    // Danger: an effect that happens twice.
+    // A side effect must not happen twice.
     let world = TestEnvironment::start(&[Behaviour::TurnAway, Behaviour::Serve]);
     let mut client = world.client();
     for n in 0..10 {
@@ -42,7 +42,7 @@
     }
     let before = world.seen();
     let answer = client.request(&post("b", "2.0")).unwrap();
-    // Failed, and not as a refusal: that would promise that trying again is harmless.
+    // The call fails instead of being refused: a refusal would promise that a retry is harmless.
     assert!(answer.start().contains(" 502 "), "{answer:?}");
     assert_eq!(world.seen(), before + 1);
 }
@@ -52,7 +52,7 @@
     let world = TestEnvironment::start(&[Behaviour::Hang]);
     let answer = world.client().request(&post("c", "0.3")).unwrap();
     assert!(answer.start().contains(" 502 "), "{answer:?}");
-    // Giving up closes the connection.
+    // The timed-out attempt closes its connection.
     wait_until("the attempt's connection has ended", || world.machines[0].ended() == 1);
 }
 
@@ -94,7 +94,7 @@
         let answer = good.request(&get(&unique_id(), "1.0")).unwrap();
         assert_eq!(answer.body, b"/article/7?q=1|");
     }
-    // One that stops in the midst of a request holds nobody up either.
+    // A client that stops in the middle of a request does not block others either.
     let mut halfway = world.client();
     halfway.send(b"POST /comment HTTP/1.1\r\nX-Call-Id: g\r\nContent-Length: 5\r\n\r\nhe");
     assert!(good.request(&get(&unique_id(), "1.0")).unwrap().start().contains(" 200 "));
@@ -119,7 +119,7 @@
         client.request(&get(&unique_id(), "1.0")).unwrap();
         world.machines.iter().all(|m| !m.seen().is_empty())
     });
-    // The front watches: the first call answers at once, the next waits for news.
+    // The front watches the list: the first call returns at once, the next is held until there is an update.
     wait_until("the watch goes on", || world.discovery.watches() >= 2);
     world.discovery.list("s-0", world.machines[0].address, "draining", 41);
     // The watch that follows the change shows that the front has read it.
@@ -147,7 +147,7 @@
     let world = TestEnvironment::start(&[Behaviour::Serve; 5]);
     let mut client = world.client();
     wait_until("the front listens", || world.platform.calls().iter().any(|c| c == "NOTIFY"));
-    // Enough calls that the earlier build is known, then a new one whose machines fail them: one alone may be sick.
+    // Enough calls to measure the earlier build, then a new one whose machines all fail: one machine alone may be faulty.
     (0..60).for_each(|_| assert!(client.request(&get(&unique_id(), "1.0")).is_some()));
     for (n, machine) in world.machines.iter().enumerate().skip(2) {
         machine.behave(Behaviour::Fail);
@@ -163,7 +163,7 @@
 
 #[test]
 fn at_the_limit_of_descriptors_idle_clients_make_room() {
-    // Danger: clients keep the connections of a busy moment, and idle ones shut out those with requests.
+    // Clients keep the connections of a busy period, and idle ones would exclude clients with requests.
     let world = TestEnvironment::with_sockets(&[Behaviour::Serve], 60);
     let mut kept: Vec<_> = (0..100).map(|_| world.client()).collect();
     for (n, client) in kept.iter_mut().enumerate() {
@@ -174,7 +174,7 @@
 
 #[test]
 fn a_request_that_aged_unread_is_not_taken_for_a_fresh_one() {
-    // Danger: work for a client that has gone, and an answer after its time.
+    // The machine would work for a client that has left, and the answer would come after its deadline.
     let world = TestEnvironment::with_sockets(&[Behaviour::Serve], 60);
     let mut halfway: Vec<_> = (0..40).map(|_| world.client()).collect();
     halfway.iter_mut().for_each(|c| c.send(b"GET /article HTTP/1.1\r\n"));
@@ -199,7 +199,7 @@
     wait_until("the request is out", || world.seen() == 1);
     world.stop();
     assert!(idle.is_closed());
-    // New connections keep coming for a while: they are served, and told that no more will be.
+    // New connections are accepted for a while: they are served, and notified that the front is not ready.
     let mut late = world.client();
     let answer = late.request("GET /up HTTP/1.1\r\n\r\n").unwrap();
     assert!(answer.start().contains(" 503 "), "{answer:?}");
@@ -234,7 +234,7 @@
 
 #[test]
 fn a_new_configuration_moves_watch_votes_and_news_and_keeps_all_else() {
-    // Danger: a signal that nobody handles ends the front, and what it holds with it.
+    // An unhandled signal would end the front and its requests in flight.
     let world = TestEnvironment::start(&[Behaviour::Hang, Behaviour::Serve]);
     wait_until("the front listens", || world.platform.calls().iter().any(|c| c == "NOTIFY"));
     let mut kept = world.client();
@@ -256,7 +256,7 @@
     world.reload(&world.config_with(&discovery, &platform));
     wait_until("the watch is at the new address", || discovery.watches() >= 2);
     wait_until("the news come from the new address", || platform.calls().iter().any(|c| c == "NOTIFY"));
-    // What the new discovery tells counts.
+    // Updates from the new discovery are applied.
     let before = discovery.watches();
     let fresh_machine = yarrowspoke_toy::Machine::start(any_port(), Behaviour::Serve).unwrap();
     world.machines[0].behave(Behaviour::Serve);
@@ -268,14 +268,14 @@
         client.request(&get(&unique_id(), "1.0")).unwrap();
         !fresh_machine.seen().is_empty()
     });
-    // The request that was out before is still out.
+    // The request that was in flight before is still in flight.
     assert_eq!(world.machines[0].ended() + world.machines[1].ended(), 0);
     drop(kept);
 }
 
 #[test]
 fn a_spoilt_list_is_asked_for_again_from_the_version_held() {
-    // Danger: half a list taken for a whole one removes machines that serve; a watch that gives up misses news.
+    // Half a list taken for a whole one would remove machines that serve; a watch that ends would miss updates.
     let world = TestEnvironment::start(&[Behaviour::Serve, Behaviour::Serve]);
     wait_until("the watch goes on", || world.discovery.watches() >= 2);
     world.discovery.spoil(&[
@@ -307,7 +307,7 @@
 
 #[test]
 fn an_id_in_use_is_nobody_elses() {
-    // Danger: the answer made for one request given to another.
+    // The answer to one request must not be given to another.
     let world = TestEnvironment::start(&[Behaviour::Hang]);
     let mut first = world.client();
     first.send(post("taken", "5.0").as_bytes());
@@ -315,7 +315,7 @@
     let answer = world.client().request(&post("taken", "5.0")).unwrap();
     assert!(answer.start().contains(" 409 "), "{answer:?}");
     assert_eq!(world.seen(), 1);
-    // Nor is one that was answered: ids are fresh on every request.
+    // The same holds for an id that was answered: each request needs a new id.
     world.machines[0].behave(Behaviour::Serve);
     assert!(world.client().request(&post("done", "5.0")).unwrap().start().contains(" 200 "));
     assert!(world.client().request(&post("done", "5.0")).unwrap().start().contains(" 409 "));
@@ -324,7 +324,7 @@
 
 #[test]
 fn who_sends_on_before_the_answer_gets_an_error_and_its_attempt_ends() {
-    // Danger: a request that hides behind a wrong length.
+    // Bytes behind a wrong length may hide another request.
     let world = TestEnvironment::start(&[Behaviour::Hang]);
     let mut client = world.client();
     client.send(post("short", "5.0").as_bytes());
@@ -337,7 +337,7 @@
 
 #[test]
 fn an_error_reaches_who_sends_without_end() {
-    // Danger: bytes left unread reset the connection, and the error is lost with it.
+    // Closing with unread bytes resets the connection, and the error would be lost.
     let world = TestEnvironment::start(&[Behaviour::Serve]);
     for (head, status) in [
         ("POST /comment HTTP/1.1\r\nX-Call-Id: big\r\nContent-Length: 20000000\r\n\r\n", " 413 "),
@@ -353,7 +353,7 @@
 
 #[test]
 fn who_says_nothing_or_only_half_is_not_waited_for() {
-    // Danger: silent connections by hundreds hold the places that requests need.
+    // Hundreds of silent connections would use the descriptors that requests need.
     let world = TestEnvironment::start(&[Behaviour::Serve]);
     let mut silent = world.client();
     let mut half = world.client();
@@ -362,7 +362,7 @@
     blank.send(b"\r\n\r\n");
     assert!(half.answer().unwrap().start().contains(" 408 "));
     assert!(silent.is_closed() && blank.is_closed());
-    // One kept between requests ends as well, a little later.
+    // A connection kept between requests is closed as well, a little later.
     let mut kept = world.client();
     assert!(kept.request(&get(&unique_id(), "1.0")).unwrap().start().contains(" 200 "));
     assert!(kept.is_closed());
@@ -370,7 +370,7 @@
 
 #[test]
 fn a_good_answer_is_served_whatever_stands_around_it_and_its_connection_is_spent() {
-    // Danger: bytes behind an answer are taken for the answer to the next request.
+    // Bytes behind a response would be taken for the response to the next request.
     let copy = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ncopy";
     for (before, fields, behind) in [
         ("", "", "\u{7f}noise"),
@@ -406,7 +406,7 @@
     ] {
         world.machines[0].behave(Behaviour::Spoil(spoilt));
         let before = world.seen();
-        // Failed, not refused: a refusal promises that it has not run.
+        // The call fails instead of being refused: a refusal promises that it has not run.
         let answer = world.client().request(&post(&unique_id(), "5.0")).unwrap();
         assert!(answer.start().contains(" 502 "), "{spoilt:?}: {answer:?}");
         assert_eq!(world.seen(), before + 1);
@@ -415,13 +415,13 @@
 
 #[test]
 fn idle_clients_make_room_though_nobody_connects() {
-    // Danger: clients may hold only so many connections; once idle ones are all of these, nobody can connect.
+    // Clients may hold a limited number of connections; once all of them are idle ones, nobody can connect.
     let world = TestEnvironment::with_sockets(&[Behaviour::Serve], 128);
     let mut kept: Vec<_> = (0..45).map(|_| world.client()).collect();
     for client in &mut kept {
         assert!(client.request(&get(&unique_id(), "5.0")).unwrap().start().contains(" 200 "));
     }
-    // Those beyond three tenths end well before the time for which the others may stand.
+    // Idle connections beyond three tenths of the limit are closed well before the idle timeout of the others.
     let begun = std::time::Instant::now();
     let ended = |n: usize| {
         wait_until("idle connections have ended", || kept.iter().filter(|c| c.has_ended()).count() >= n);
@@ -433,7 +433,7 @@
 
 #[test]
 fn the_key_of_a_keyed_class_is_passed_on_unchanged() {
-    // Danger: a machine that does not get it takes a repeat for another request, and runs it again.
+    // A machine that does not get the key would take a retry for a new request and run it again.
     let world = TestEnvironment::with_config_change(
         &[Behaviour::Serve],
         r#""Effect": "once""#,
