--- a/crates/yarrowspoke-front/tests/crowded/oracle.rs
+++ b/crates/yarrowspoke-front/tests/crowded/oracle.rs
@@ -1,42 +1,42 @@
-//! When a change counts as told to a front, and which requests came to a drained machine after that. Each bound is the
-//! protocol's, by kind of event; nothing here asks the program.
+//! Computes when a front counts as notified of a change, and which requests reached a drained machine after that. The bounds
+//! are those of the protocol for each kind of event; the program itself is not queried.
 
 use super::{BusyDiscovery, Change, Front, Server, Written};
 use std::time::{Duration, Instant};
 
-/// A change counts as told to everybody so long after discovery had it and could be reached.
+/// Time after which every front counts as notified of a change, once discovery has it and is reachable.
 pub const TOLD_WITHIN: Duration = Duration::from_secs(6);
-/// After a SIGHUP what discovery has counts as told so long after the signal.
+/// Time after a SIGHUP from which a front counts as notified of discovery's list.
 pub const MOVED_TOLD_WITHIN: Duration = Duration::from_secs(4);
-/// After this grace nothing new may go to a drained machine, slack included.
+/// Grace time, including slack, after which no new request may reach a drained machine.
 pub const GRACE: Duration = Duration::from_millis(550);
 
-/// A request that came after the grace.
+/// A request that arrived after the grace time.
 #[derive(Clone, Debug)]
 pub struct Late {
     pub machine: String,
     pub front: usize,
-    /// How long after the change counted as told.
+    /// Time since the front counted as notified of the change.
     pub after_told: Duration,
-    /// How long after the front's last SIGHUP.
+    /// Time since the front's last SIGHUP.
     pub after_move: Option<Duration>,
 }
 
-/// What one front was told, and when.
+/// The updates that one front received, with their times.
 struct Told<'a> {
     front: &'a Front,
     written: Vec<Written>,
 }
 
 impl Told<'_> {
-    /// From when on this change counted as told to the process that runs at `at`; `None` if it did not yet.
+    /// Returns when the process that runs at `at` counted as notified of this change; `None` if it does not yet.
     fn since(&self, change: &Change, at: Instant) -> Option<Instant> {
         let start = *self.front.starts.iter().filter(|start| **start <= at).max()?;
-        // A process that has just begun knows what its configuration holds, and is held to no more than that at first.
+        // A process that has just started knows only its configuration, and nothing more is required of it at first.
         let by_age = (change.at.max(self.front.reaches_since) + TOLD_WITHIN).max(start);
         let by_writing = self.written_since(start).find(|w| w.version >= change.version).map(|w| w.at);
         let by_moves = self.front.moves.iter().filter(|moved| **moved >= start).filter_map(|moved| {
-            // Until discovery has written something at the new address, what it has counts as told once the time is over.
+            // Unless discovery writes something at the new address before, the front counts as notified once the time is over.
             let answered = self.written_since(*moved).map(|w| w.at).min();
             let due = (*moved + MOVED_TOLD_WITHIN).max(change.at);
             answered.is_none_or(|answered| change.at < answered && due < answered).then_some(due)
@@ -50,7 +50,7 @@
     }
 }
 
-/// Requests that came to machines while discovery listed them as draining or gone, after the grace.
+/// Returns requests that reached machines listed as draining or gone, after the grace time.
 pub fn late_requests(discovery: &BusyDiscovery, servers: &[Server], fronts: &[Front]) -> Vec<Late> {
     let (changes, written) = (discovery.changes(), discovery.written());
     let told = |front| {
@@ -66,7 +66,7 @@
             let Some(change) = own.iter().rfind(|c| c.at <= came.at).filter(|c| c.status != "up") else {
                 continue;
             };
-            // The first change away from "up" is the one that counts.
+            // The first change away from "up" is decisive.
             let first = own.iter().rposition(|c| c.at <= came.at && c.status == "up").map_or(0, |n| n + 1);
             let change = own.get(first).unwrap_or(change);
             let Some(since) = told[front].since(change, came.at) else { continue };
--- a/crates/yarrowspoke-front/tests/shape.rs
+++ b/crates/yarrowspoke-front/tests/shape.rs
@@ -1,4 +1,4 @@
-//! The settings of another shape of deployment, in force and watched. No verdict hangs on speed.
+//! Tests of settings for another kind of deployment, in force and as shadow settings. No result depends on speed.
 
 mod common;
 
@@ -12,7 +12,7 @@
 
 const PROBES: &str = r#""Bounds": {"#;
 
-/// Requests that the machines got and that carry no call's id.
+/// Returns the number of requests at the machines without a call id.
 fn probes(world: &TestEnvironment) -> usize {
     let seen = world.machines.iter().flat_map(|m| m.seen());
     seen.filter(|m| m.field("x-call-id").is_none()).count()
@@ -25,7 +25,7 @@
 
 #[test]
 fn where_probes_are_allowed_a_slow_machine_is_asked_before_it_gets_a_request() {
-    // Slow enough that another machine would be better, and never so slow that the probe is not answered.
+    // Slow enough that another machine would be better, but fast enough to answer the probe in time.
     let late = [Behaviour::ServeLate(200), Behaviour::ServeLate(200)];
     let world = TestEnvironment::with_config_change(&late, PROBES, r#""Bounds": {"Probes": true, "#);
     (0..4).for_each(|_| ask(&world));
@@ -33,7 +33,7 @@
         ask(&world);
         probes(&world) > 0
     });
-    // A probe is no attempt: it carries no id, and each request still ran once.
+    // A probe is not an attempt: it has no id, and each request still ran once.
     let calls = world.seen() - probes(&world);
     let ids: std::collections::BTreeSet<String> = world
         .machines
--- a/crates/yarrowspoke-front/tests/soak.rs
+++ b/crates/yarrowspoke-front/tests/soak.rs
@@ -1,7 +1,7 @@
-//! Fleets of processes through drawn schedules of signals and trouble: new configurations in series, stops, kills, a discovery
-//! that is slow, crowded, silent at its old address or down, and machines that drain, go and come back. Clients use open
-//! connections until the kill, which comes as early as it may. One seed names one schedule; `YARROWSPOKE_SOAK_SEEDS=FROM..TO`
-//! plays others than those of CI.
+//! Soak test: fleets of processes run through random schedules of signals and faults: series of new configurations, stops, kills,
+//! a discovery that is slow, overloaded, silent at its old address or down, and machines that drain, leave and return. Clients
+//! use open connections until the kill, which comes as early as it may. A seed determines a schedule;
+//! `YARROWSPOKE_SOAK_SEEDS=FROM..TO` runs other seeds than those of CI.
 
 mod common;
 mod crowded;
@@ -15,31 +15,31 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// The seeds that CI plays.
+/// The seeds that CI runs.
 const SEEDS: std::ops::Range<u64> = 1..5;
-/// Schedules played side by side.
+/// Schedules that run in parallel.
 const LANES: usize = 4;
 const SETTLED: Duration = Duration::from_millis(1_500);
-/// The schedule's length, and how long the fleet is watched after it.
+/// Length of a schedule, and how long the fleet is observed after it.
 const SCHEDULE: Duration = Duration::from_secs(12);
 const AFTERMATH: Duration = Duration::from_secs(16);
-/// A kill follows a stop no sooner: the longest deadline and 0.7 s.
+/// Shortest time from a stop to a kill: the longest deadline plus 0.7 s.
 const KILL_AFTER: Duration = Duration::from_millis(5_700);
-/// One call costs discovery no more, half of what it lets a caller wait: else no two fronts could call at once.
+/// Largest cost of a call at discovery, half of the time that it lets a caller wait: otherwise no two fronts could call at once.
 const MOST_CALL_COST: Duration = Duration::from_secs(1);
-/// After a stop new connections come for so long at the most.
-const STILL_COMING: Duration = Duration::from_millis(400);
-/// No signal comes in a process's first second.
+/// Longest time after a stop in which clients open new connections.
+const STOP_GRACE: Duration = Duration::from_millis(400);
+/// Time after the start of a process without signals.
 const FIRST_SECOND: Duration = Duration::from_secs(1);
 /// A client's pause between requests.
 const PACE: Duration = Duration::from_millis(40);
-/// Requests served over the last seconds, at least.
+/// Least share of requests served over the last seconds.
 const SERVED_AT_END: f64 = 0.9;
 
 /// One step of a schedule.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// The fronts that a bit names are told of a new address.
+    /// The fronts whose bit is set are notified of a new address.
     Move(u32),
     Stop(usize),
     Kill(usize),
@@ -47,10 +47,10 @@
     Drain(usize),
     Gone(usize),
     Back(usize),
-    /// Discovery is out of reach, or back.
+    /// Discovery becomes unreachable, or reachable again.
     Down,
     Up,
-    /// Others crowd discovery: opening calls cost so much more for a while.
+    /// Other callers overload discovery: opening calls cost this many times more for a while.
     Crowd(u32),
 }
 
@@ -66,12 +66,12 @@
     }
 }
 
-/// A schedule drawn from a seed.
+/// A random schedule, determined by a seed.
 struct Schedule {
     fronts: usize,
     servers: usize,
     talks: bool,
-    /// Time in which discovery answers one call of each front.
+    /// Time in which discovery serves one call of each front.
     all_calls: Duration,
     steps: Vec<(Duration, Step)>,
 }
@@ -88,13 +88,13 @@
         draw_discovery(&mut draw, &mut steps);
         steps.sort_by_key(|step| step.0);
         let all_calls = draw.millis(200, 8_000);
-        // Without messages a front that waits for discovery has nobody to ask.
+        // Without messages, a front that waits for discovery cannot query its peers.
         let talks = draw.below(5) > 0;
         Self { fronts, servers, talks, all_calls, steps }
     }
 }
 
-/// New configurations: one to three, some close behind the last, told to all at once or to some first.
+/// Draws one to three new configurations, some shortly after the last, applied at all fronts at once or at some first.
 fn draw_moves(draw: &mut Draw, steps: &mut Vec<(Duration, Step)>) {
     let mut at = draw.millis(0, 4_000);
     for _ in 0..1 + draw.below(3) {
@@ -132,7 +132,7 @@
     }
 }
 
-/// Half of the machines drain, go, and some come back under their names.
+/// Draws times at which half of the machines drain and leave; some return under their names.
 fn draw_machines(draw: &mut Draw, servers: usize, steps: &mut Vec<(Duration, Step)>) {
     for server in servers / 2..servers {
         let at = draw.millis(0, 9_000);
@@ -162,19 +162,19 @@
     }
 }
 
-/// What is played, and what it did to the processes.
+/// A running schedule, and its effects on the processes.
 struct Play {
     schedule: Schedule,
     servers: Vec<Server>,
     discovery: BusyDiscovery,
     fleet: Fleet,
     loads: Vec<Load>,
-    /// When each front was told to stop.
+    /// When each front was sent a stop signal.
     stops: Vec<(usize, Instant)>,
-    /// When each front's process was ended, and the next one listened.
+    /// When each front's process ended, and when the next one listened.
     away: Vec<(usize, Instant, Option<Instant>)>,
     is_down: bool,
-    /// What discovery has not been told while it is down.
+    /// Changes that discovery has missed while it is down.
     unlisted: Vec<(usize, &'static str)>,
 }
 
@@ -253,7 +253,7 @@
         }
     }
 
-    /// A machine turns to another state, and discovery has it at once, or when it is back: while it is down it learns nothing.
+    /// Changes a machine's state; discovery lists it at once, or on its return if it is down.
     fn list(&mut self, server: usize, life: Life, status: &'static str) {
         self.servers[server].live(life);
         match self.is_down {
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Discovery is back, with all that it missed.
+    /// Lists all changes that discovery missed while it was down.
     fn list_missed(&mut self) {
         self.is_down = false;
         for (server, status) in std::mem::take(&mut self.unlisted) {
@@ -270,8 +270,8 @@
         }
     }
 
-    /// Whether a front need not answer a request of that span: it was killed within it, or not there yet, or the connection
-    /// came when no new ones come any more.
+    /// Returns whether a front need not answer this request: it was killed meanwhile, had not started yet, or the connection
+    /// was opened after the time for new ones.
     fn is_excused(&self, front: usize, noted: &Noted) -> bool {
         let slack = Duration::from_millis(100);
         let away = self.away.iter().any(|(away, from, to)| {
@@ -280,7 +280,7 @@
         let starts = &self.fleet.fronts[front].starts;
         let stopped = self.stops.iter().any(|(stopped, at)| {
             let restarted = starts.iter().any(|start| start > at && *start <= noted.begun);
-            *stopped == front && noted.begun > *at + STILL_COMING && !restarted
+            *stopped == front && noted.begun > *at + STOP_GRACE && !restarted
         });
         away || stopped && noted.on_new_connection
     }
@@ -319,7 +319,7 @@
     }
 }
 
-/// Requests with an effect that may have run at more than one attempt.
+/// Returns requests with a side effect that may have run in more than one attempt.
 fn ran_twice(servers: &[Server]) -> Vec<String> {
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     let came = servers.iter().flat_map(Server::came);
@@ -352,7 +352,7 @@
         };
         let played: Vec<_> = lane.iter().map(|seed| play(*seed)).collect();
         for ended in played {
-            match ended.join().expect("a schedule is played to its end") {
+            match ended.join().expect("a schedule runs to its end") {
                 Ok(told) => eprintln!("{told}"),
                 Err(told) => {
                     eprintln!("BROKEN {told}");
