--- a/crates/yarrowspoke-front/tests/crowded/discovery.rs
+++ b/crates/yarrowspoke-front/tests/crowded/discovery.rs
@@ -1,4 +1,4 @@
-//! One discovery service that answers opening calls in turn, at an address of its own for each front.
+//! A discovery service that serves opening calls one at a time, with a separate address for each front.
 
 use super::{lock, read_head, write_answer, Server};
 use crate::common::free_port;
@@ -9,22 +9,22 @@
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Open connections end so long after an address is given up.
+/// Time after which open connections are closed once their address is no longer served.
 const CLOSES_AFTER: Duration = Duration::from_millis(1_500);
-/// How often a listener looks whether it is to close.
+/// Interval at which a listener checks whether it should close.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(2);
 
 /// How discovery treats its callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
-    /// Answers in turn.
+    /// Serves calls one at a time.
     InTurn,
-    /// Takes calls and never answers; watches have ended.
+    /// Accepts calls and never answers; watches have ended.
     Down,
-    /// Answers in turn, and stops in the middle of each answer.
+    /// Serves calls one at a time, and stops in the middle of each response.
     HalfAnswers,
-    /// Stops in the middle of its first two answers, and works after that for others: each further call ends in 503 after
-    /// `PATIENCE`.
+    /// Stops in the middle of its first two responses and is overloaded by others after that: each further call ends in 503
+    /// after `PATIENCE`.
     Overloaded,
 }
 
@@ -33,9 +33,9 @@
     /// Version of the last change and status of each machine.
     machines: BTreeMap<String, (u64, SocketAddr, &'static str)>,
     service: Service,
-    /// What one opening call costs.
+    /// Processing time of an opening call.
     cost: Duration,
-    /// When the calls taken so far are worked off.
+    /// When the calls accepted so far have been processed.
     free_at: Instant,
     answered: usize,
     /// Calls answered since the service last changed.
@@ -45,13 +45,13 @@
     written: Vec<Written>,
 }
 
-/// Whether the caller has closed its connection.
+/// Returns whether the caller has closed its connection.
 fn has_left(stream: &TcpStream) -> bool {
     let seen = stream.set_nonblocking(true).and_then(|()| stream.peek(&mut [0; 1]));
     stream.set_nonblocking(false).is_err() || matches!(seen, Ok(0))
 }
 
-/// A machine was listed otherwise.
+/// A change of a machine's listed status.
 #[derive(Clone, Debug)]
 pub struct Change {
     pub version: u64,
@@ -60,7 +60,7 @@
     pub status: &'static str,
 }
 
-/// A list or change was written whole to a front.
+/// A list or delta that was written completely to a front.
 #[derive(Clone, Copy, Debug)]
 pub struct Written {
     pub front: usize,
@@ -76,7 +76,7 @@
 }
 
 impl Door {
-    /// Takes no new connection from now on, and ends the open ones a little later.
+    /// Stops accepting connections, and closes the open ones a little later.
     pub fn close(&self) {
         self.closed.store(true, Ordering::Relaxed);
         let open = Arc::clone(&self.open);
@@ -89,8 +89,8 @@
     }
 }
 
-/// Discovery for a whole fleet. A call that waited for longer than `PATIENCE` ends in 503, and its work is done all the same;
-/// one that would wait for longer than `QUEUE_LIMIT` is turned away at once.
+/// Discovery for a whole fleet. A call that waited for longer than `PATIENCE` ends in 503 but is processed all the same; one
+/// that would wait for longer than `QUEUE_LIMIT` is rejected at once.
 #[derive(Clone)]
 pub struct BusyDiscovery {
     listed: Arc<(Mutex<Listed>, Condvar)>,
@@ -118,7 +118,7 @@
         Self { listed: Arc::new((Mutex::new(listed), Condvar::new())) }
     }
 
-    /// Whether both are one service, whatever the address.
+    /// Returns whether both are the same service, whatever the address.
     pub fn is(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.listed, &other.listed)
     }
@@ -145,7 +145,7 @@
         door
     }
 
-    /// Changes the service and what an opening call costs.
+    /// Sets the behaviour and the processing time of an opening call.
     pub fn serve(&self, service: Service, cost: Duration) {
         let mut listed = lock(&self.listed.0);
         listed.service = service;
@@ -154,7 +154,7 @@
         self.listed.1.notify_all();
     }
 
-    /// Lists machines otherwise, all in one version.
+    /// Changes the listed status of machines, all in one version.
     pub fn change(&self, machines: &[&Server], status: &'static str) {
         let mut listed = lock(&self.listed.0);
         listed.version += 1;
@@ -167,23 +167,23 @@
         self.listed.1.notify_all();
     }
 
-    /// The whole list, as a front's configuration holds it.
+    /// Returns the whole list in the form used in a front's configuration.
     pub fn snapshot(&self) -> String {
         Self::text(&lock(&self.listed.0), None)
     }
 
-    /// Opening calls that were answered in time, and those worked off for callers that had been told to leave.
+    /// Returns the opening calls answered in time, and those processed for callers that had already been rejected.
     pub fn calls(&self) -> (usize, usize) {
         let listed = lock(&self.listed.0);
         (listed.answered, listed.wasted)
     }
 
-    /// All that was listed otherwise so far.
+    /// Returns all changes so far.
     pub fn changes(&self) -> Vec<Change> {
         lock(&self.listed.0).changes.clone()
     }
 
-    /// All that was written to fronts so far.
+    /// Returns all responses written to fronts so far.
     pub fn written(&self) -> Vec<Written> {
         lock(&self.listed.0).written.clone()
     }
@@ -226,7 +226,7 @@
         }
     }
 
-    /// A call that opens a watch or fetches the list: it takes its turn.
+    /// Serves a call that opens a watch or fetches the list; it queues behind earlier ones.
     fn open(&self, stream: &mut TcpStream, front: usize, from: Option<u64>) -> std::io::Result<()> {
         let now = Instant::now();
         let ready = {
@@ -266,7 +266,7 @@
         Ok(())
     }
 
-    /// A watch that goes on: it waits for a change, and ends when discovery goes down.
+    /// Serves a call on an open watch: it is held until a change, and ends when discovery goes down.
     fn wait(
         &self,
         stream: &mut TcpStream,
--- a/crates/yarrowspoke-front/tests/crowded/load.rs
+++ b/crates/yarrowspoke-front/tests/crowded/load.rs
@@ -1,4 +1,4 @@
-//! Clients that ask at an even pace.
+//! Clients that send requests at an even pace.
 
 use super::{lock, read_head};
 use std::io::{BufReader, Read, Write};
@@ -10,15 +10,15 @@
 /// How a request ended, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// It was served.
     Served,
-    /// Answered otherwise.
+    /// It got another answer.
     Answered,
-    /// Its connection, kept from the request before, ended without an answer: it is sent once more on another.
+    /// Its kept connection closed without an answer; the request is sent once more on a new one.
     Crossed,
-    /// Nobody listened.
+    /// Nothing was listening at the front's address.
     Unreached,
-    /// No answer came on the connection that it was first sent on, or on another after it crossed the end of one.
+    /// It got no answer, neither on its first connection nor on another after the first had just closed.
     Unanswered,
 }
 
@@ -31,17 +31,17 @@
     pub outcome: Outcome,
 }
 
-/// What became of requests.
+/// Counts of requests by outcome.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tally {
     pub served: usize,
-    /// Answered in any way, on the connection that they were first sent on.
+    /// Requests that got any answer, on the connection of their first attempt.
     pub answered: usize,
     pub asked: usize,
 }
 
 impl Tally {
-    /// What became of all clients' requests that were handed in within a span.
+    /// Counts the requests of all clients that were started within a time span.
     pub fn of(loads: &[Load], from: Instant, to: Instant) -> Self {
         loads.iter().map(|load| load.tally(from, to)).fold(Self::default(), |sum, one| Self {
             served: sum.served + one.served,
@@ -51,14 +51,14 @@
     }
 }
 
-/// A client waits so long past the time that it states before it takes a request for lost.
+/// Time past its stated budget after which a client takes a request for lost.
 const PATIENCE: Duration = Duration::from_millis(1_500);
-/// What a client states that it will wait.
+/// The budget that a client states.
 const BUDGET: Duration = Duration::from_secs(1);
-/// Every so manieth request has an effect, where clients send such.
+/// Interval, in requests, between two with a side effect, for clients that send such.
 const EFFECT_EVERY: usize = 4;
 
-/// A client of one front that asks at an even pace and notes how each request ended.
+/// A client of one front that sends requests at an even pace and records how each ended.
 pub struct Load {
     stop: Arc<AtomicBool>,
     noted: Arc<Mutex<Vec<Noted>>>,
@@ -69,7 +69,7 @@
         Self::begin(front, name, every, false)
     }
 
-    /// The same; some of the requests must not run twice.
+    /// Same as `start`, but some of the requests must not run twice.
     pub fn with_effects(front: SocketAddr, name: String, every: Duration) -> Self {
         Self::begin(front, name, every, true)
     }
@@ -134,12 +134,12 @@
         Some(if served { Outcome::Served } else { Outcome::Answered })
     }
 
-    /// All requests so far.
+    /// Returns all requests so far.
     pub fn noted(&self) -> Vec<Noted> {
         lock(&self.noted).clone()
     }
 
-    /// What became of the requests handed in within a span.
+    /// Counts the requests that were started within a time span.
     fn tally(&self, from: Instant, to: Instant) -> Tally {
         let noted = lock(&self.noted);
         let within = || noted.iter().filter(|n| n.begun >= from && n.begun < to).map(|n| n.outcome);
--- a/crates/yarrowspoke-front/tests/crowded/mod.rs
+++ b/crates/yarrowspoke-front/tests/crowded/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of fronts around one discovery service that answers calls in turn, and machines that can drain, go and come back.
+//! A fleet of fronts around one discovery service that answers calls in turn, and machines that can drain, leave and return.
 #![allow(dead_code)]
 
 mod discovery;
@@ -21,7 +21,7 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
 
-/// Waits until then.
+/// Sleeps until the given time.
 pub fn sleep_until(at: Instant) {
     std::thread::sleep(at.saturating_duration_since(Instant::now()));
 }
--- a/crates/yarrowspoke-front/tests/crowded/server.rs
+++ b/crates/yarrowspoke-front/tests/crowded/server.rs
@@ -1,4 +1,4 @@
-//! Machines that drain, go and come back under their names and addresses.
+//! Machines that drain, leave and return under their names and addresses.
 
 use super::{lock, read_head, write_answer};
 use crate::common::{free_port, wait_until};
@@ -7,18 +7,18 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// What a machine's process does.
+/// State of a machine's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Life {
     /// Serves.
     Serving,
-    /// Turns new requests away.
+    /// Rejects new requests.
     Draining,
     /// The process has ended: connections are reset, new ones refused.
     Gone,
 }
 
-/// A machine that keeps its name and address through the lives of its processes.
+/// A machine that keeps its name and address across restarts of its process.
 #[derive(Clone)]
 pub struct Server {
     pub name: String,
@@ -32,12 +32,12 @@
 #[derive(Clone, Debug)]
 pub struct Came {
     pub at: Instant,
-    /// The front that its client asked, by the name that the client bears.
+    /// The front that the client used, from the client's name in the request id.
     pub front: Option<usize>,
     pub id: String,
-    /// Repeating it would be an effect twice.
+    /// Whether running it again would repeat a side effect.
     pub has_effect: bool,
-    /// It was not turned away.
+    /// Whether it was not rejected.
     pub ran: bool,
 }
 
@@ -56,8 +56,8 @@
     }
 }
 
-/// Listens where a listener was that has just ended. Its socket may be open for a moment longer, in its thread or in a process
-/// that is being started.
+/// Listens at the address of a listener that has just closed. Its socket may remain open for a moment in its thread or in a
+/// process that is being started.
 fn listen_again(address: SocketAddr) -> TcpListener {
     let mut listener = None;
     wait_until("the address of a machine is free again", || {
@@ -68,13 +68,13 @@
 }
 
 impl Server {
-    /// As many machines as that.
+    /// Starts this many machines.
     pub fn start_all(machines: usize) -> Vec<Self> {
         (0..machines).map(|number| Self::start(&format!("s-{number}"))).collect()
     }
 
     fn start(name: &str) -> Self {
-        // Danger: while a machine is gone its port must not be given to somebody else.
+        // While a machine is gone, its port must not be reused by another process.
         let listener = TcpListener::bind(free_port()).unwrap();
         let server = Self {
             name: name.to_owned(),
@@ -98,7 +98,7 @@
         }
     }
 
-    /// The requests that came.
+    /// Returns the requests received so far.
     pub fn came(&self) -> Vec<Came> {
         lock(&self.came).clone()
     }
