--- a/crates/yarrowspoke-front/tests/scripted/mod.rs
+++ b/crates/yarrowspoke-front/tests/scripted/mod.rs
@@ -1,4 +1,4 @@
-//! Peers that do nothing by themselves: each step is the test's, so that it decides which of two events comes first.
+//! Remote parties that act only on a test's instructions, so that the test decides which of two events comes first.
 #![allow(dead_code)]
 
 pub mod stage;
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 use yarrowspoke_toy::{read_message, Message};
 
-/// Far longer than anything here takes: a test that waits so long has failed.
+/// Time-out of a test's wait, far longer than any step takes.
 pub const PATIENCE: Duration = Duration::from_secs(20);
 
-/// A peer's connection, read and written by the test alone.
+/// A connection that only the test reads and writes.
 pub struct Wire {
     reader: BufReader<TcpStream>,
 }
@@ -34,29 +34,29 @@
         self.reader.get_mut().write_all(bytes.as_bytes()).unwrap();
     }
 
-    /// The same to one that may have ended meanwhile; whether it was taken.
+    /// Writes to a connection that may have ended meanwhile; returns whether the write succeeded.
     pub fn offer(&mut self, bytes: &str) -> bool {
         self.reader.get_mut().write_all(bytes.as_bytes()).is_ok()
     }
 
-    /// The next message; `None` if the other side ended or reset the connection.
+    /// Reads the next message; `None` if the other side closed or reset the connection.
     pub fn message(&mut self) -> Option<Message> {
         read_message(&mut self.reader).ok().flatten()
     }
 
-    /// The next line, without its ending; `None` at the end.
+    /// Reads the next line, without its ending; `None` at the end.
     pub fn line(&mut self) -> Option<String> {
         let mut line = String::new();
         let n = self.reader.read_line(&mut line).ok()?;
         (n > 0).then(|| line.trim_end().to_owned())
     }
 
-    /// An answer with this body.
+    /// Writes a response with this body.
     pub fn answer(&mut self, body: &str) {
         self.write(&ok(body));
     }
 
-    /// Waits until the other side has ended the connection, with nothing more to read.
+    /// Waits until the other side closes the connection; returns whether nothing more was to be read.
     pub fn ends(&mut self) -> bool {
         match self.reader.read(&mut [0; 1]) {
             Ok(n) => n == 0,
@@ -64,12 +64,12 @@
         }
     }
 
-    /// Ends the connection.
+    /// Closes the connection.
     pub fn ends_now(self) {
         let _ = self.reader.get_ref().shutdown(std::net::Shutdown::Both);
     }
 
-    /// Whether something has come, without waiting.
+    /// Returns whether data has arrived, without waiting.
     pub fn has_news(&mut self) -> bool {
         let stream = self.reader.get_ref();
         stream.set_nonblocking(true).unwrap();
@@ -78,7 +78,7 @@
         came || !self.reader.buffer().is_empty()
     }
 
-    /// Whether the other side has ended the connection, without waiting.
+    /// Returns whether the other side has closed the connection, without waiting.
     pub fn has_ended(&mut self) -> bool {
         let stream = self.reader.get_ref();
         stream.set_nonblocking(true).unwrap();
@@ -95,7 +95,7 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// A peer that is connected to.
+/// A listener whose connections the test controls.
 pub struct Peer {
     pub address: SocketAddr,
     came: Receiver<TcpStream>,
@@ -110,23 +110,23 @@
         Self { address, came }
     }
 
-    /// The next connection that comes.
+    /// Waits for the next connection.
     pub fn connection(&self) -> Wire {
         Wire::over(self.came.recv_timeout(PATIENCE).expect("a connection"))
     }
 
-    /// The same, if one comes within `wait`.
+    /// Returns the next connection if one arrives within `wait`.
     pub fn connection_within(&self, wait: Duration) -> Option<Wire> {
         self.came.recv_timeout(wait).ok().map(Wire::over)
     }
 }
 
-/// A peer to whom connections come up only once it lets them: until then all that come are turned away unseen, and
-/// whoever connects tries again after a second, as the kernel does by itself.
+/// A listener to which connections are established only once it is opened: until then its backlog is full, and the kernel of
+/// the connecting side retries after a second.
 pub struct LatePeer {
     pub address: SocketAddr,
     listener: TcpListener,
-    /// They fill the row of those that wait to be accepted.
+    /// Connections that fill the backlog.
     fill: Vec<TcpStream>,
 }
 
@@ -135,7 +135,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let (mut fill, mut missed) = (Vec::new(), 0);
-        // One that takes long may only have met a busy machine; several in a row find the row full.
+        // One slow connection may only mean a busy host; several in a row mean that the backlog is full.
         while missed < 4 {
             match TcpStream::connect_timeout(&address, Duration::from_millis(150)) {
                 Ok(stream) => (missed, _) = (0, fill.push(stream)),
@@ -145,13 +145,13 @@
         Self { address, listener, fill }
     }
 
-    /// Whether anybody is connecting to it just now.
+    /// Returns whether a connection attempt is under way.
     pub fn is_tried(&self) -> bool {
         let to = format!(" 0100007F:{:04X} 02 ", self.address.port());
         std::fs::read_to_string("/proc/net/tcp").unwrap().contains(&to)
     }
 
-    /// Lets them in from now on.
+    /// Accepts connections from now on.
     pub fn open(self) -> Peer {
         let Self { address, listener, fill } = self;
         let ours: Vec<_> = fill.iter().map(|s| s.local_addr().unwrap()).collect();
@@ -165,7 +165,7 @@
     }
 }
 
-/// One line of discovery's list.
+/// Returns one line of discovery's list.
 pub fn entry(name: &str, address: SocketAddr, status: &str, build: u16, since_ms: u64) -> String {
     format!(
         r#"{{"name":"{name}","address":"{address}","zone":"a","type":"m","group":0,"status":"{status}","weight":1.0,"since_ms":{since_ms},"build":{build}}}"#
@@ -195,7 +195,7 @@
         Self { child, listen, path: path.to_owned(), lines }
     }
 
-    /// Reads the log up to a line that holds `text`; that line.
+    /// Reads the log up to a line that contains `text`, and returns that line.
     pub fn logs(&self, text: &str) -> String {
         let until = Instant::now() + PATIENCE;
         loop {
@@ -212,7 +212,7 @@
         assert!(kill.unwrap().success());
     }
 
-    /// Stands still until woken.
+    /// Pauses the process until it is resumed.
     pub fn halt(&self) {
         self.signal("STOP");
         let state = format!("/proc/{}/stat", self.child.id());
@@ -229,7 +229,7 @@
         Wire::to(self.listen)
     }
 
-    /// Whether `/up` says that it serves.
+    /// Returns whether `/up` reports that the front is ready.
     pub fn is_up(&self) -> bool {
         let mut client = self.client();
         client.write("GET /up HTTP/1.1\r\n\r\n");
--- a/crates/yarrowspoke-front/tests/scripted/stage.rs
+++ b/crates/yarrowspoke-front/tests/scripted/stage.rs
@@ -11,7 +11,7 @@
     pub listen: std::net::SocketAddr,
 }
 
-/// A list without a machine.
+/// A list without machines.
 pub const EMPTY: &str = r#"{"index": 0, "snapshot": true, "endpoints": []}"#;
 
 impl Stage {
@@ -36,7 +36,7 @@
         Program::start(&temp_file("config.json", &self.config), self.listen)
     }
 
-    /// The first call of the watch, answered with this list.
+    /// Answers the first call of the watch with this list.
     pub fn open_watch(&self, list: &str) -> Wire {
         let mut watch = self.discovery.connection();
         let asked = watch.message().unwrap();
@@ -45,7 +45,7 @@
         watch
     }
 
-    /// A watch on these machines, all on build 41, that waits for news.
+    /// Starts the program with a watch on these machines, all on build 41, that is held until an update.
     pub fn watched(&self, machines: &[&Peer]) -> (Program, Wire) {
         let program = self.start();
         let lines: Vec<_> = machines.iter().enumerate().map(|(n, m)| up(n, m)).collect();
@@ -55,7 +55,7 @@
     }
 }
 
-/// The line of a machine that is up, on build 41.
+/// Returns the line of a ready machine on build 41.
 pub fn up(n: usize, machine: &Peer) -> String {
     entry(&format!("s-{n}"), machine.address, "up", 41, 0)
 }
