--- a/crates/yarrowspoke-expr/tests/common/mod.rs
+++ b/crates/yarrowspoke-expr/tests/common/mod.rs
@@ -45,9 +45,13 @@
     assert_eq!(
         by_index,
         set.matches_interpreted(&set.syntax_trees(), request),
-        "{when}: the two ways differ"
+        "{when}: index and interpreter disagree"
+    );
+    assert_eq!(
+        by_index,
+        set.matches_sequential(&mut scratch, request),
+        "{when}: index and sequential evaluation disagree"
     );
-    assert_eq!(by_index, set.matches_sequential(&mut scratch, request), "{when}: the index lost it");
     let ruling = set.evaluate::<true>(&mut scratch, request);
     assert!(scratch.steps() <= set.cost(), "{when}: {} steps of {}", scratch.steps(), set.cost());
     assert_eq!(ruling.matched as usize, by_index.len());
--- a/crates/yarrowspoke-expr/tests/sets.rs
+++ b/crates/yarrowspoke-expr/tests/sets.rs
@@ -222,7 +222,10 @@
             shadows,
             "{earlier} | {later}"
         );
-        assert!(warnings_of(Order::All, &[earlier, later]).is_empty(), "of all, each is reached");
+        assert!(
+            warnings_of(Order::All, &[earlier, later]).is_empty(),
+            "{earlier} | {later}: with order all, no rule is shadowed"
+        );
     }
 }
 
