--- a/crates/yarrowspoke-operator/src/lib.rs
+++ b/crates/yarrowspoke-operator/src/lib.rs
@@ -1,8 +1,7 @@
-//! The operator's file: S-expressions into typed sections, checked as one whole.
+//! Reads the operator's file: parses S-expressions into typed sections and checks them as a whole.
 //!
-//! Each top-level form is one section, `(name (field value) ...)`, at most once; a section that is not there is off.
-//! All faults of a file are found in one reading, each with its line, its column, what stands there and what was
-//! expected.
+//! Each top-level form is a section, `(name (field value) ...)`, that may occur once. An absent section is off. All faults of
+//! a file are found in one pass, each with its line, its column, what was found and what was expected.
 
 pub mod fleet;
 mod read;
@@ -21,24 +20,24 @@
 /// All sections of an operator's file.
 #[derive(Debug, Default)]
 pub struct Operator {
-    /// Rates of judging; the decision module's own if none.
+    /// Error rates of fault detection; the decision module's defaults if absent.
     pub error_rates: Option<ErrorRates>,
-    /// Rules by which requests are classified; none if it is not there.
+    /// Rules that classify requests; none if absent.
     pub rules: Option<Rules>,
-    /// What outlasts a restart; nothing if it is not there.
+    /// Settings of the store that survives restarts; no store if absent.
     pub store: Option<StoreSettings>,
-    /// Many copies together; each by itself if it is not there.
+    /// The fleet that the front belongs to; the front runs on its own if absent.
     pub fleet: Option<FleetSection>,
 }
 
-/// One fault of a file.
+/// A fault in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// Line, from 1.
     pub line: usize,
     /// Column, from 1.
     pub column: usize,
-    /// What stands there.
+    /// What was found.
     pub found: String,
     /// What was expected.
     pub expected: String,
@@ -53,33 +52,33 @@
 /// Why an operator's file cannot be used.
 #[derive(Debug, Error)]
 pub enum OperatorError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{path}: {source}")]
     File {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What went wrong.
+        /// Error of the file system.
         source: std::io::Error,
     },
-    /// It has faults, in the order in which they stand.
+    /// The file has faults, in the order of their positions.
     #[error("{}", .faults.iter().map(|f| format!("{path}:{f}")).collect::<Vec<_>>().join("\n"))]
     Faults {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Its faults.
+        /// Faults of the file.
         faults: Vec<Fault>,
     },
 }
 
-/// Reads the file at `path`.
+/// Reads and parses the file at `path`.
 pub fn load(path: &Path) -> Result<Operator, OperatorError> {
-    let named = path.display().to_string();
+    let path_text = path.display().to_string();
     let text = std::fs::read_to_string(path)
-        .map_err(|source| OperatorError::File { path: named.clone(), source })?;
-    parse(&text).map_err(|faults| OperatorError::Faults { path: named, faults })
+        .map_err(|source| OperatorError::File { path: path_text.clone(), source })?;
+    parse(&text).map_err(|faults| OperatorError::Faults { path: path_text, faults })
 }
 
-/// Reads a file's text; all its faults, or its sections.
+/// Parses the text of a file. Returns its sections, or all its faults.
 pub fn parse(text: &str) -> Result<Operator, Vec<Fault>> {
     let mut faults = Vec::new();
     let mut operator = Operator::default();
@@ -115,7 +114,7 @@
     };
     for field in section.fields(faults) {
         let rate = |x: f64| x > 0.0 && x < 0.5;
-        let (slot, holds, wanted): (&mut f64, fn(f64) -> bool, &str) = match field.name.as_str() {
+        let (slot, holds, expected): (&mut f64, fn(f64) -> bool, &str) = match field.name.as_str() {
             "false-alarm" => (&mut v.false_rollback, rate, "a rate above 0 and under 0.5"),
             "miss" => (&mut v.missed_fault, rate, "a rate above 0 and under 0.5"),
             "least-fault" => {
@@ -131,7 +130,7 @@
         };
         if !slot.is_nan() {
             faults.push(field.fault("each field once"));
-        } else if let Some(x) = field.number(wanted, faults, holds) {
+        } else if let Some(x) = field.number(expected, faults, holds) {
             *slot = x;
         }
     }
--- a/crates/yarrowspoke-operator/src/read.rs
+++ b/crates/yarrowspoke-operator/src/read.rs
@@ -1,17 +1,17 @@
-//! From text to forms that know where they stand.
+//! Parses text into forms that keep their positions in the file.
 
 use crate::Fault;
 use lexpr::datum::{Datum, Ref, Span};
 use lexpr::{Parser, Value};
 
-/// `(name ...)` with where it stands.
+/// A form `(name ...)` with its position.
 pub struct Form {
-    /// Its name.
+    /// Name of the form.
     pub name: String,
     datum: Datum,
 }
 
-fn place(span: Span) -> (usize, usize) {
+fn position(span: Span) -> (usize, usize) {
     (span.start().line(), span.start().column() + 1)
 }
 
@@ -19,17 +19,17 @@
     Fault { line: at.0, column: at.1, found: found.to_string(), expected: expected.to_owned() }
 }
 
-/// The sections of a text; what is none is a fault. Text that is no S-expression ends the reading.
+/// Parses the sections of a text. Anything else at the top level is a fault; invalid S-expression syntax ends parsing.
 pub fn sections(text: &str, faults: &mut Vec<Fault>) -> Vec<Form> {
     let mut parser = Parser::from_str(text);
     let mut out = Vec::new();
     loop {
         match parser.next_datum() {
             Ok(None) => return out,
-            Ok(Some(datum)) => match head(datum.as_ref()) {
+            Ok(Some(datum)) => match head_symbol(datum.as_ref()) {
                 Some(name) => out.push(Form { name, datum }),
                 None => faults.push(fault(
-                    place(datum.span()),
+                    position(datum.span()),
                     datum.value(),
                     "a section: (name (field value) ...)",
                 )),
@@ -44,127 +44,137 @@
     }
 }
 
-/// The symbol that a list begins with.
-fn head(datum: Ref<'_>) -> Option<String> {
+/// Returns the symbol at the head of a list.
+fn head_symbol(datum: Ref<'_>) -> Option<String> {
     let first = datum.list_iter()?.next()?;
     first.value().as_symbol().map(str::to_owned)
 }
 
 impl Form {
-    /// Where it stands: line and column, from 1.
-    pub fn place(&self) -> (usize, usize) {
-        place(self.datum.span())
+    /// Returns the position of the form: line and column, from 1.
+    pub fn position(&self) -> (usize, usize) {
+        position(self.datum.span())
     }
 
-    /// A fault of it as a whole.
+    /// Returns a fault of the form as a whole.
     pub fn fault(&self, expected: &str) -> Fault {
-        fault(self.place(), format!("({} ...)", self.name), expected)
+        fault(self.position(), format!("({} ...)", self.name), expected)
     }
 
-    /// Names of the forms in it.
+    /// Returns the names of the nested forms.
     pub fn names(&self) -> Vec<String> {
-        self.parts().filter_map(head).collect()
+        self.values().filter_map(head_symbol).collect()
     }
 
-    fn parts(&self) -> impl Iterator<Item = Ref<'_>> {
+    fn values(&self) -> impl Iterator<Item = Ref<'_>> {
         self.datum.as_ref().list_iter().into_iter().flatten().skip(1)
     }
 
-    /// The forms in it, its own name left out; what is none is a fault.
+    /// Returns the nested forms. Any other value in the form is a fault.
     pub fn fields(&self, faults: &mut Vec<Fault>) -> Vec<Form> {
-        self.fields_behind(0, faults)
+        self.fields_after(0, faults)
     }
 
-    /// The forms in it behind its first `skipped` parts.
-    pub fn fields_behind(&self, skipped: usize, faults: &mut Vec<Fault>) -> Vec<Form> {
+    /// Returns the nested forms after the first `skipped` values.
+    pub fn fields_after(&self, skipped: usize, faults: &mut Vec<Fault>) -> Vec<Form> {
         let mut out = Vec::new();
-        for part in self.parts().skip(skipped) {
-            match head(part) {
-                Some(name) => out.push(Form { name, datum: Datum::from(part) }),
-                None => faults.push(fault(place(part.span()), part.value(), "a field: (name value)")),
+        for value in self.values().skip(skipped) {
+            match head_symbol(value) {
+                Some(name) => out.push(Form { name, datum: Datum::from(value) }),
+                None => faults.push(fault(position(value.span()), value.value(), "a field: (name value)")),
             }
         }
         out
     }
 
-    /// Its first part, if it is a name: a word or a string.
-    pub fn title(&self) -> Option<String> {
-        self.parts().next().and_then(|p| word(p.value()))
+    /// Returns the first value if it is a name: a symbol or a string.
+    pub fn first_name(&self) -> Option<String> {
+        self.values().next().and_then(|p| name_of(p.value()))
     }
 
-    /// Its only part, and where it stands.
+    /// Returns the only value and its position.
     fn value(&self) -> Option<(Value, (usize, usize))> {
-        let mut parts = self.parts();
-        match (parts.next(), parts.next()) {
-            (Some(one), None) => Some((one.value().clone(), place(one.span()))),
+        let mut values = self.values();
+        match (values.next(), values.next()) {
+            (Some(one), None) => Some((one.value().clone(), position(one.span()))),
             _ => None,
         }
     }
 
-    /// Where its only part stands, or it itself.
-    pub fn value_place(&self) -> (usize, usize) {
-        self.value().map_or(self.place(), |v| v.1)
+    /// Returns the position of the only value, or of the form if there is not exactly one.
+    pub fn value_position(&self) -> (usize, usize) {
+        self.value().map_or(self.position(), |v| v.1)
     }
 
-    /// A fault of its only part.
+    /// Returns a fault of the only value.
     pub fn fault_of_value(&self, expected: &str) -> Fault {
         match self.value() {
             Some((value, at)) => fault(at, value, expected),
-            None => fault(self.place(), format!("({} ...) without one value", self.name), expected),
+            None => fault(self.position(), format!("({} ...) without one value", self.name), expected),
         }
     }
 
-    /// Its only part, if `read` takes it; anything else is a fault.
-    pub fn take<T>(
+    /// Returns the only value as converted by `convert`; anything else is a fault.
+    pub fn convert_value<T>(
         &self,
-        wanted: &str,
+        expected: &str,
         faults: &mut Vec<Fault>,
-        read: impl Fn(&Value) -> Option<T>,
+        convert: impl Fn(&Value) -> Option<T>,
     ) -> Option<T> {
-        let taken = self.value().and_then(|v| read(&v.0));
-        if taken.is_none() {
-            faults.push(self.fault_of_value(wanted));
+        let converted = self.value().and_then(|v| convert(&v.0));
+        if converted.is_none() {
+            faults.push(self.fault_of_value(expected));
         }
-        taken
+        converted
     }
 
-    /// Its only part as a number.
-    pub fn number(&self, wanted: &str, faults: &mut Vec<Fault>, holds: impl Fn(f64) -> bool) -> Option<f64> {
-        self.take(wanted, faults, |v| v.as_f64().filter(|x| x.is_finite() && holds(*x)))
+    /// Returns the only value as a number that `is_valid` accepts.
+    pub fn number(
+        &self,
+        expected: &str,
+        faults: &mut Vec<Fault>,
+        is_valid: impl Fn(f64) -> bool,
+    ) -> Option<f64> {
+        self.convert_value(expected, faults, |v| v.as_f64().filter(|x| x.is_finite() && is_valid(*x)))
     }
 
-    /// Its only part as a whole number.
-    pub fn whole(&self, wanted: &str, faults: &mut Vec<Fault>, holds: impl Fn(u64) -> bool) -> Option<u64> {
-        self.take(wanted, faults, |v| v.as_u64().filter(|x| holds(*x)))
+    /// Returns the only value as a whole number that `is_valid` accepts.
+    pub fn integer(
+        &self,
+        expected: &str,
+        faults: &mut Vec<Fault>,
+        is_valid: impl Fn(u64) -> bool,
+    ) -> Option<u64> {
+        self.convert_value(expected, faults, |v| v.as_u64().filter(|x| is_valid(*x)))
     }
 
-    /// Its only part as a name: a word or a string.
-    pub fn word(&self, wanted: &str, faults: &mut Vec<Fault>) -> Option<String> {
-        self.take(wanted, faults, word)
+    /// Returns the only value as a name: a symbol or a string.
+    pub fn name(&self, expected: &str, faults: &mut Vec<Fault>) -> Option<String> {
+        self.convert_value(expected, faults, name_of)
     }
 
-    /// Its only part as a string.
-    pub fn text(&self, wanted: &str, faults: &mut Vec<Fault>) -> Option<String> {
-        self.take(wanted, faults, |v| v.as_str().map(str::to_owned))
+    /// Returns the only value as a string.
+    pub fn string(&self, expected: &str, faults: &mut Vec<Fault>) -> Option<String> {
+        self.convert_value(expected, faults, |v| v.as_str().map(str::to_owned))
     }
 }
 
-fn word(value: &Value) -> Option<String> {
+fn name_of(value: &Value) -> Option<String> {
     value.as_symbol().or(value.as_str()).filter(|w| !w.is_empty()).map(str::to_owned)
 }
 
-/// The place, in a file's text, of a character of a string that stands at `at`: `offset` is in bytes of the string's
-/// value, where an escape of two characters in the file is one.
-pub fn within(text: &str, at: (usize, usize), offset: usize) -> (usize, usize) {
+/// Returns the position in a file's text of a character within the string literal at `at`. `offset` counts bytes of the
+/// string's value, in which an escape of two characters in the file is one byte.
+pub fn position_in_string(text: &str, at: (usize, usize), offset: usize) -> (usize, usize) {
     let (mut line, mut column) = at;
-    let begun =
+    let start =
         text.split_inclusive('\n').take(line.saturating_sub(1)).map(str::len).sum::<usize>() + column - 1;
-    let mut raw = text.get(begun..).unwrap_or("").chars().peekable();
+    let mut raw = text.get(start..).unwrap_or("").chars().peekable();
     // The opening quote.
     raw.next();
     column += 1;
-    let mut passed = 0;
-    while passed < offset {
+    let mut value_bytes = 0;
+    while value_bytes < offset {
         let Some(c) = raw.next() else { break };
         match c {
             '\n' => (line, column) = (line + 1, 1),
@@ -174,7 +184,7 @@
             }
             _ => column += 1,
         }
-        passed += if c == '\\' { 1 } else { c.len_utf8() };
+        value_bytes += if c == '\\' { 1 } else { c.len_utf8() };
     }
     (line, column)
 }
--- a/crates/yarrowspoke-operator/src/rules.rs
+++ b/crates/yarrowspoke-operator/src/rules.rs
@@ -1,19 +1,19 @@
-//! The section `rules`: matching expressions and what they say.
+//! The section `rules`: match expressions and the policy that each rule sets.
 
-use crate::read::{within, Form};
+use crate::read::{position_in_string, Form};
 use crate::Fault;
 use yarrowspoke_expr::bounds::Bounds;
 use yarrowspoke_expr::ruling::{LimitSource, Piece, RuleFault, Says, World};
 use yarrowspoke_expr::set::{Order, RuleSource, Set, SetSource};
 
-/// Keys of limits that are counted apart, if the file says nothing.
+/// Default for the number of limit keys that are counted separately.
 const DEFAULT_LIMIT_KEYS: usize = 8_192;
 
-/// The section, compiled.
+/// The compiled section.
 pub struct Rules {
-    /// The compiled set.
+    /// The compiled rules.
     pub set: Set,
-    /// Keys of limits that are counted apart.
+    /// Number of limit keys that are counted separately.
     pub max_limit_keys: usize,
     positions: RulePositions,
 }
@@ -24,7 +24,7 @@
     }
 }
 
-/// Where the rules' texts stand in the file.
+/// Positions of the rules' texts in the file.
 struct RulePositions {
     text: String,
     section: (usize, usize),
@@ -42,7 +42,7 @@
         let rule = f.rule.and_then(|n| self.rules.get(n));
         let at = rule.and_then(|r| r[piece]);
         let (line, column) = match at {
-            Some(at) if piece < 3 => within(&self.text, at, f.at.from),
+            Some(at) if piece < 3 => position_in_string(&self.text, at, f.at.from),
             Some(at) => at,
             None => self.section,
         };
@@ -51,75 +51,76 @@
 }
 
 impl Rules {
-    /// Turns names into a deployment's positions; refuses what would loosen its guards.
+    /// Resolves names to the positions of a deployment. Fails if a rule would weaken the deployment's safeguards.
     pub fn bind(&mut self, world: &World) -> Result<(), Vec<Fault>> {
         let positions = &self.positions;
         self.set.bind(world).map_err(|faults| faults.into_iter().map(|f| positions.fault(f)).collect())
     }
 
-    /// What is odd in the set, each with its line and column.
+    /// Returns warnings about suspicious rules, each with its line and column.
     pub fn warnings(&self) -> Vec<(usize, usize, String)> {
-        let place = |rule: Option<usize>| {
+        let position = |rule: Option<usize>| {
             rule.and_then(|n| self.positions.rules.get(n))
                 .and_then(|r| r[3])
                 .unwrap_or(self.positions.section)
         };
-        self.set.warnings.iter().map(|w| (place(w.rule).0, place(w.rule).1, w.text.clone())).collect()
+        self.set.warnings.iter().map(|w| (position(w.rule).0, position(w.rule).1, w.text.clone())).collect()
     }
 }
 
-/// Reads and compiles the section.
+/// Parses and compiles the section.
 pub fn rules(section: &Form, text: &str, faults: &mut Vec<Fault>) -> Option<Rules> {
     let before = faults.len();
     let mut source = SetSource::default();
-    let mut positions = RulePositions { text: text.to_owned(), section: section.place(), rules: Vec::new() };
+    let mut positions =
+        RulePositions { text: text.to_owned(), section: section.position(), rules: Vec::new() };
     let mut max_limit_keys = DEFAULT_LIMIT_KEYS;
-    let mut once: Vec<String> = Vec::new();
+    let mut seen_fields: Vec<String> = Vec::new();
     for field in section.fields(faults) {
         if field.name != "rule" {
-            if once.contains(&field.name) {
+            if seen_fields.contains(&field.name) {
                 faults.push(field.fault("each field once"));
                 continue;
             }
-            once.push(field.name.clone());
+            seen_fields.push(field.name.clone());
         }
         let bounds: &mut Bounds = &mut source.bounds;
         match field.name.as_str() {
-            "order" => match field.word("first or all", faults).as_deref() {
+            "order" => match field.name("first or all", faults).as_deref() {
                 Some("first") => source.order = Order::First,
                 Some("all") => source.order = Order::All,
                 Some(_) => faults.push(field.fault_of_value("first or all")),
                 None => {}
             },
             "steps" => {
-                let wanted = "steps for a request, 100 to 1000000";
-                let steps = field.whole(wanted, faults, |n| (100..=1_000_000).contains(&n));
+                let expected = "steps for a request, 100 to 1000000";
+                let steps = field.integer(expected, faults, |n| (100..=1_000_000).contains(&n));
                 bounds.steps = steps.unwrap_or(bounds.steps);
             }
             "target" => {
-                let wanted = "bytes of path and query, 16 to 8192";
-                let bytes = field.whole(wanted, faults, |n| (16..=8_192).contains(&n));
+                let expected = "bytes of path and query, 16 to 8192";
+                let bytes = field.integer(expected, faults, |n| (16..=8_192).contains(&n));
                 bounds.target = bytes.map_or(bounds.target, |n| n as usize);
             }
             "header" => {
-                let wanted = "bytes of a header that rules read, 8 to 8192";
-                let bytes = field.whole(wanted, faults, |n| (8..=8_192).contains(&n));
+                let expected = "bytes of a header that rules read, 8 to 8192";
+                let bytes = field.integer(expected, faults, |n| (8..=8_192).contains(&n));
                 bounds.header = bytes.map_or(bounds.header, |n| n as usize);
             }
             "bytes" => {
-                let wanted = "bytes of the compiled set, 10000 to 1000000000";
-                let bytes = field.whole(wanted, faults, |n| (10_000..=1_000_000_000).contains(&n));
+                let expected = "bytes of the compiled set, 10000 to 1000000000";
+                let bytes = field.integer(expected, faults, |n| (10_000..=1_000_000_000).contains(&n));
                 bounds.bytes = bytes.map_or(bounds.bytes, |n| n as usize);
             }
             "buckets" => {
-                let wanted = "keys of limits counted apart, 2 to 1000000";
-                let most = field.whole(wanted, faults, |n| (2..=1_000_000).contains(&n));
-                max_limit_keys = most.map_or(max_limit_keys, |n| n as usize);
+                let expected = "keys of limits counted apart, 2 to 1000000";
+                let keys = field.integer(expected, faults, |n| (2..=1_000_000).contains(&n));
+                max_limit_keys = keys.map_or(max_limit_keys, |n| n as usize);
             }
             "rule" => {
-                if let Some((rule, place)) = rule(&field, faults) {
+                if let Some((rule, position)) = rule(&field, faults) {
                     source.rules.push(rule);
-                    positions.rules.push(place);
+                    positions.rules.push(position);
                 }
             }
             _ => faults
@@ -145,17 +146,17 @@
     Some((seconds * 1e6) as u64)
 }
 
-type Place = [Option<(usize, usize)>; 4];
+type RulePosition = [Option<(usize, usize)>; 4];
 
-fn rule(form: &Form, faults: &mut Vec<Fault>) -> Option<(RuleSource, Place)> {
-    let Some(name) = form.title() else {
+fn rule(form: &Form, faults: &mut Vec<Fault>) -> Option<(RuleSource, RulePosition)> {
+    let Some(name) = form.first_name() else {
         faults.push(form.fault("a name behind 'rule': (rule NAME (when \"...\") ...)"));
         return None;
     };
     let mut when = None;
     let mut says = Says::default();
-    let mut place: Place = [None, None, None, Some(form.place())];
-    let fields = form.fields_behind(1, faults);
+    let mut position: RulePosition = [None, None, None, Some(form.position())];
+    let fields = form.fields_after(1, faults);
     for (n, field) in fields.iter().enumerate() {
         if fields[..n].iter().any(|f| f.name == field.name) {
             faults.push(field.fault("each field once"));
@@ -164,34 +165,35 @@
         let expression = "an expression as a string";
         match field.name.as_str() {
             "when" => {
-                when = field.text(expression, faults);
-                place[0] = Some(field.value_place());
+                when = field.string(expression, faults);
+                position[0] = Some(field.value_position());
             }
             "subject" => {
-                says.subject = field.text(expression, faults);
-                place[1] = Some(field.value_place());
+                says.subject = field.string(expression, faults);
+                position[1] = Some(field.value_position());
             }
-            "class" => says.class = field.word("a class's name", faults),
-            "tenant" => says.tenant = field.word("a tenant's name", faults),
-            "zone" => says.zone = field.word("a zone's name", faults),
-            "kind" => says.kind = field.word("a kind of machine", faults),
+            "class" => says.class = field.name("a class's name", faults),
+            "tenant" => says.tenant = field.name("a tenant's name", faults),
+            "zone" => says.zone = field.name("a zone's name", faults),
+            "kind" => says.kind = field.name("a kind of machine", faults),
             "effect" => {
-                let wanted = "once: a rule can only make a request unrepeatable";
-                let word = field.take(wanted, faults, |v| v.as_symbol().filter(|s| *s == "once").map(|_| ()));
-                says.once = word.is_some();
+                let expected = "once: a rule can only make a request unrepeatable";
+                let effect =
+                    field.convert_value(expected, faults, |v| v.as_symbol().filter(|s| *s == "once").map(|_| ()));
+                says.once = effect.is_some();
             }
             "attempts" => {
-                let most = field.whole("attempts, 1 to 100", faults, |n| (1..=100).contains(&n));
-                says.attempts = most.map(|n| n as u32);
+                let attempts = field.integer("attempts, 1 to 100", faults, |n| (1..=100).contains(&n));
+                says.attempts = attempts.map(|n| n as u32);
             }
             "budget" => {
-                let wanted = "seconds, above 0 and at most 3600";
-                let s = field.number(wanted, faults, |s| s > 0.0 && s <= 3_600.0);
+                let expected = "seconds, above 0 and at most 3600";
+                let s = field.number(expected, faults, |s| s > 0.0 && s <= 3_600.0);
                 says.budget = s.map(|s| ((s * 1e6) as u64).max(1));
             }
             "refuse" => says.refuse = seconds(field, faults),
             "limit" => {
-                says.limit = limit(field, &mut place, faults);
+                says.limit = limit(field, &mut position, faults);
             }
             _ => faults.push(field.fault(
                 "one of the fields: when, class, effect, subject, tenant, attempts, limit, zone, kind, budget, refuse",
@@ -201,24 +203,24 @@
     if !fields.iter().any(|f| f.name == "when") {
         faults.push(form.fault("the field when in it"));
     }
-    Some((RuleSource { name, when: when?, says }, place))
+    Some((RuleSource { name, when: when?, says }, position))
 }
 
-fn limit(form: &Form, place: &mut Place, faults: &mut Vec<Fault>) -> Option<LimitSource> {
+fn limit(form: &Form, position: &mut RulePosition, faults: &mut Vec<Fault>) -> Option<LimitSource> {
     let (mut key, mut rate, mut burst) = (None, None, None);
     for field in form.fields(faults) {
         match field.name.as_str() {
             "key" => {
-                key = field.text("an expression as a string", faults);
-                place[2] = Some(field.value_place());
+                key = field.string("an expression as a string", faults);
+                position[2] = Some(field.value_position());
             }
             "rate" => {
-                let wanted = "requests a second of all fronts together, 0.001 to 1000000";
-                rate = field.number(wanted, faults, |n| (0.001..=1e6).contains(&n));
+                let expected = "requests a second of all fronts together, 0.001 to 1000000";
+                rate = field.number(expected, faults, |n| (0.001..=1e6).contains(&n));
             }
             "burst" => {
-                let wanted = "requests at once of all fronts together, 1 to 1000000";
-                burst = field.number(wanted, faults, |n| (1.0..=1e6).contains(&n));
+                let expected = "requests at once of all fronts together, 1 to 1000000";
+                burst = field.number(expected, faults, |n| (1.0..=1e6).contains(&n));
             }
             _ => faults.push(field.fault("one of the fields: key, rate, burst")),
         }
--- a/crates/yarrowspoke-operator/src/store.rs
+++ b/crates/yarrowspoke-operator/src/store.rs
@@ -1,33 +1,33 @@
-//! The section `store`: what outlasts a restart, and where.
+//! The section `store`: settings of the store that survives restarts.
 
 use crate::read::Form;
 use crate::Fault;
 use std::path::PathBuf;
 
-/// The section.
+/// Settings of the section.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StoreSettings {
-    /// The directory, this front's alone.
+    /// Directory of the store, used by this front only.
     pub directory: PathBuf,
-    /// Microseconds for which an ended request is remembered.
+    /// How long the record of a finished request is kept, in microseconds.
     pub retention: u64,
-    /// Most bytes of all records.
+    /// Maximum bytes of all records.
     pub max_bytes: u64,
-    /// Answers up to so many bytes are kept, to be given again.
+    /// Maximum size in bytes of an answer that is stored to be replayed.
     pub max_answer_bytes: usize,
-    /// Microseconds for which a group gathers at the most.
+    /// Maximum time that a commit group collects operations, in microseconds.
     pub group_delay: u64,
-    /// Microseconds after which a disk that has not answered holds a request no longer.
+    /// How long a request waits for a disk that does not respond, in microseconds.
     pub disk_timeout: u64,
-    /// `GET /up` says no once the disk has failed.
+    /// Whether `GET /up` reports failure once the disk has failed.
     pub down_when_failed: bool,
-    /// A snapshot is as good as told up to this age, in microseconds...
+    /// Maximum age at which a snapshot is trusted like a list just received, in microseconds.
     pub full_trust_age: u64,
-    /// ...and of no use from this one.
+    /// Age from which a snapshot is not used, in microseconds.
     pub no_trust_age: u64,
 }
 
-/// Reads the section.
+/// Parses the section.
 pub fn store(section: &Form, faults: &mut Vec<Fault>) -> Option<StoreSettings> {
     let before = faults.len();
     let mut settings = StoreSettings {
@@ -47,13 +47,13 @@
             faults.push(field.fault("each field once"));
             continue;
         }
-        let mut seconds = |wanted: &str, least: f64, most: f64| {
-            let s = field.number(wanted, faults, |s| (least..=most).contains(&s));
+        let mut seconds = |expected: &str, min: f64, max: f64| {
+            let s = field.number(expected, faults, |s| (min..=max).contains(&s));
             s.map(|s| (s * 1e6) as u64)
         };
         match field.name.as_str() {
             "directory" => {
-                let path = field.text("a path as a string", faults);
+                let path = field.string("a path as a string", faults);
                 settings.directory = path.map(PathBuf::from).unwrap_or_default();
             }
             "keep" => {
@@ -76,16 +76,16 @@
                     seconds("seconds, 1 to 604800", 1.0, 604_800.0).unwrap_or(settings.no_trust_age)
             }
             "bytes" => {
-                let wanted = "bytes, 100000 to 1000000000000";
+                let expected = "bytes, 100000 to 1000000000000";
                 settings.max_bytes = field
-                    .whole(wanted, faults, |n| (100_000..=1_000_000_000_000).contains(&n))
+                    .integer(expected, faults, |n| (100_000..=1_000_000_000_000).contains(&n))
                     .unwrap_or(settings.max_bytes);
             }
             "answers" => {
-                let most = field.whole("bytes, 0 to 65536", faults, |n| n <= 65_536);
-                settings.max_answer_bytes = most.map_or(settings.max_answer_bytes, |n| n as usize);
+                let bytes = field.integer("bytes, 0 to 65536", faults, |n| n <= 65_536);
+                settings.max_answer_bytes = bytes.map_or(settings.max_answer_bytes, |n| n as usize);
             }
-            "when-failed" => match field.word("serve or down", faults).as_deref() {
+            "when-failed" => match field.name("serve or down", faults).as_deref() {
                 Some("serve") => settings.down_when_failed = false,
                 Some("down") => settings.down_when_failed = true,
                 Some(_) => faults.push(field.fault_of_value("serve or down")),
--- a/crates/yarrowspoke-settings/src/lib.rs
+++ b/crates/yarrowspoke-settings/src/lib.rs
@@ -1,21 +1,21 @@
-//! The settings of an instance, read from the JSON of its first message.
+//! Parses the settings of an instance from the JSON of its first message.
 //!
-//! Absent keys take the wire's own "nothing said" values; unknown keys are skipped.
+//! Absent keys take the protocol's defaults for "unspecified"; unknown keys are ignored.
 
 use serde::Deserialize;
 use yarrowspoke::interface as api;
 
-/// Settings that cannot be read; it names the field.
+/// Error of settings that cannot be parsed; it names the field.
 pub type SettingsError = serde_path_to_error::Error<serde_json::Error>;
 
-/// All that the settings object tells.
+/// The parsed settings object.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// What the decision module is told.
+    /// Settings of the decision module.
     pub module: api::Settings,
-    /// Names behind the positions that the module counts in.
+    /// Names of the positions by which the module refers to classes, tenants, zones and kinds.
     pub names: Names,
-    /// Figures of the transport, of which the module knows nothing.
+    /// Transport settings, which the module does not use.
     pub transport: Transport,
 }
 
@@ -34,14 +34,14 @@
     pub load_fields: Vec<String>,
 }
 
-/// Figures of the transport, in microseconds; 0 = not said.
+/// Transport settings; times are in microseconds, 0 = unspecified.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Transport {
-    /// A machine closes connections that have stood idle for so long.
+    /// Time after which a machine closes an idle connection.
     pub idle: u64,
-    /// A connection not established within this time has failed.
+    /// Time within which a connection must be established.
     pub connect_timeout: u64,
-    /// What discovery has of the list counts as told, whether or not it was asked for.
+    /// Whether the list that discovery holds counts as delivered even if it was not requested.
     pub pushed: bool,
 }
 
@@ -153,21 +153,21 @@
     zone: u16,
 }
 
-/// Reads an instance's settings from their JSON text.
+/// Parses the settings of an instance from JSON text.
 pub fn parse(json: &[u8]) -> Result<Settings, SettingsError> {
-    read(&mut serde_json::Deserializer::from_slice(json))
+    deserialize(&mut serde_json::Deserializer::from_slice(json))
 }
 
-/// Reads an instance's settings from JSON already taken apart.
+/// Parses the settings of an instance from a JSON value.
 pub fn from_value(value: &serde_json::Value) -> Result<Settings, SettingsError> {
-    read(value)
+    deserialize(value)
 }
 
-fn read<'de, D>(from: D) -> Result<Settings, serde_path_to_error::Error<D::Error>>
+fn deserialize<'de, D>(deserializer: D) -> Result<Settings, serde_path_to_error::Error<D::Error>>
 where
     D: serde::Deserializer<'de>,
 {
-    let env: Env = serde_path_to_error::deserialize(from)?;
+    let env: Env = serde_path_to_error::deserialize(deserializer)?;
     let names = Names {
         classes: env.classes.iter().map(|c| c.name.clone()).collect(),
         tenants: env.tenants.iter().map(|t| t.name.clone()).collect(),
@@ -193,9 +193,9 @@
         pulls_list: env.membership_mode == "ask",
         list_heartbeats: false,
         over_share_worth: env.over_share_worth,
-        report_fields: env.report.fields.iter().map(|f| field(f)).collect(),
+        report_fields: env.report.fields.iter().map(|f| load_field(f)).collect(),
         report_source: match env.report.source.as_str() {
-            // Not said, reports come with answers.
+            // If unspecified, load reports arrive with responses.
             "answers" | "" => api::ReportSource::Responses,
             "probe" => api::ReportSource::Probes,
             _ => api::ReportSource::None,
@@ -221,33 +221,33 @@
     }
 }
 
-fn class(c: &Class) -> api::Class {
+fn class(class: &Class) -> api::Class {
     api::Class {
-        latency_target: c.aim_us,
-        deadline: c.deadline_us,
-        latency_target_per_work: c.aim_stretch,
-        idempotency: match c.effect.as_str() {
+        latency_target: class.aim_us,
+        deadline: class.deadline_us,
+        latency_target_per_work: class.aim_stretch,
+        idempotency: match class.effect.as_str() {
             "repeatable" => api::Idempotency::Idempotent,
             "by_key" => api::Idempotency::Keyed,
             _ => api::Idempotency::AtMostOnce,
         },
-        dedup_scope: match c.dedup_scope.as_str() {
+        dedup_scope: match class.dedup_scope.as_str() {
             "all" => api::DedupScope::All,
             "zone" => api::DedupScope::Zone,
             _ => api::DedupScope::Cell,
         },
-        dedup_window: c.window_us,
-        late_worth: c.late_worth,
-        worth: c.worth,
-        streamed: c.streamed,
+        dedup_window: class.window_us,
+        late_worth: class.late_worth,
+        worth: class.worth,
+        streamed: class.streamed,
     }
 }
 
-fn tenant(t: &Tenant) -> api::Tenant {
-    api::Tenant { quota_rps: t.quota_rps, share: t.share }
+fn tenant(tenant: &Tenant) -> api::Tenant {
+    api::Tenant { quota_rps: tenant.quota_rps, share: tenant.share }
 }
 
-fn field(name: &str) -> api::LoadField {
+fn load_field(name: &str) -> api::LoadField {
     match name {
         "concurrent" => api::LoadField::Concurrent,
         "depth" => api::LoadField::QueueDepth,
@@ -259,32 +259,32 @@
     }
 }
 
-fn release(d: Domain) -> api::Release {
+fn release(domain: Domain) -> api::Release {
     api::Release {
-        mode: match d.vote_mode.as_str() {
+        mode: match domain.vote_mode.as_str() {
             "first_voice" => api::VoteMode::FirstVote,
             "automatic" => api::VoteMode::Automatic,
             _ => api::VoteMode::Quorum,
         },
-        rollback_votes: d.to_abort,
-        advance_votes: d.ayes_needed,
-        hold_votes: d.to_pause,
-        min_stage_time: d.least_stage_us,
-        stage_time: d.moves_after_us,
-        vote_timeout: d.call_timeout_us,
-        vote_rate_limit: d.votes_per_s,
-        vote_lifetime: d.vote_stands_us,
-        status_period: d.news_period_us,
-        caps: d.exposure_caps,
-        stage_shares: d.stage_share,
-        exposure_window: d.exposure_window_us,
-        free_attempts: d.spare_tries,
-        counts_by_class: d.counted_by == "each_class",
-        guarded_stages: d.guarded_stages,
-        forward_only: d.forward_only,
-        keeps_old_machines: d.style == "parallel",
-        complaint_share: d.flag_share,
-        tally_sample_share: d.sampled_share,
-        tally_period: d.tally_every_us,
+        rollback_votes: domain.to_abort,
+        advance_votes: domain.ayes_needed,
+        hold_votes: domain.to_pause,
+        min_stage_time: domain.least_stage_us,
+        stage_time: domain.moves_after_us,
+        vote_timeout: domain.call_timeout_us,
+        vote_rate_limit: domain.votes_per_s,
+        vote_lifetime: domain.vote_stands_us,
+        status_period: domain.news_period_us,
+        caps: domain.exposure_caps,
+        stage_shares: domain.stage_share,
+        exposure_window: domain.exposure_window_us,
+        free_attempts: domain.spare_tries,
+        counts_by_class: domain.counted_by == "each_class",
+        guarded_stages: domain.guarded_stages,
+        forward_only: domain.forward_only,
+        keeps_old_machines: domain.style == "parallel",
+        complaint_share: domain.flag_share,
+        tally_sample_share: domain.sampled_share,
+        tally_period: domain.tally_every_us,
     }
 }
