--- a/crates/yarrowspoke-drill/src/main.rs
+++ b/crates/yarrowspoke-drill/src/main.rs
@@ -1,4 +1,4 @@
-//! Adapter between the bench's wire protocol and yarrowspoke's decision module.
+//! Adapter between the bench's wire protocol and the decision module of yarrowspoke.
 
 use std::io;
 use std::process::ExitCode;
--- a/crates/yarrowspoke-drill/src/wire.rs
+++ b/crates/yarrowspoke-drill/src/wire.rs
@@ -1,36 +1,36 @@
-//! The bench's binary frames: a bounded reader over a batch and a writer for the reply.
+//! The bench's binary frames: a bounds-checked reader for a batch and a writer for the reply.
 
 use thiserror::Error;
 use yarrowspoke::interface::{Action, CallOutcome, ListUpdate, MachineEntry, MachineState, Phase, Vote};
 
-/// Bytes of a batch header.
+/// Size of a batch header in bytes.
 pub const BATCH_HEADER: usize = 20;
-/// Bytes of a reply header.
+/// Size of a reply header in bytes.
 pub const REPLY_HEADER: usize = 12;
 const ENTRY_BYTES: usize = 26;
 
-/// What is wrong with the input, and where.
+/// An error in the input, with its position.
 #[derive(Debug, Error)]
 pub enum WireError {
     /// The input ended inside a frame.
     #[error("batch {batch}: input ended inside the frame ({what})")]
     Truncated {
-        /// Number of the batch, 0 if its header was cut.
+        /// Number of the batch; 0 if its header was truncated.
         batch: u32,
-        /// The part that was cut.
+        /// The truncated part.
         what: &'static str,
     },
-    /// The stated size cannot be right.
+    /// The length in the header does not match the records.
     #[error("batch {batch}: stated length {length} disagrees with its records ({what})")]
     Length {
         /// Number of the batch.
         batch: u32,
-        /// The stated length.
+        /// The length in the header.
         length: u32,
-        /// What disagrees.
+        /// How the length is wrong.
         what: &'static str,
     },
-    /// A record ran past the frame.
+    /// A record runs past the end of the frame.
     #[error("byte {at}: record runs past the end of the frame")]
     Overrun {
         /// Position in the frame's body.
@@ -41,12 +41,12 @@
     Unknown {
         /// Position in the frame's body.
         at: usize,
-        /// What it should be.
+        /// The kind of value expected.
         what: &'static str,
-        /// What was read.
+        /// The value read.
         value: u64,
     },
-    /// An event for no instance.
+    /// A record that is not valid at this point, such as an event for no running instance.
     #[error("byte {at}: {what}")]
     Misplaced {
         /// Position in the frame's body.
@@ -54,12 +54,12 @@
         /// What is wrong.
         what: String,
     },
-    /// Settings that cannot be read.
+    /// Settings that cannot be parsed.
     #[error("byte {at}: settings are not valid: {source}")]
     Settings {
         /// Position in the frame's body.
         at: usize,
-        /// The reader's complaint.
+        /// Error of the parser.
         source: yarrowspoke_settings::SettingsError,
     },
     /// The stream failed.
@@ -74,22 +74,22 @@
 }
 
 impl<'a> Reader<'a> {
-    /// A reader at the start of `body`.
+    /// Creates a reader at the start of `body`.
     pub fn new(body: &'a [u8]) -> Self {
         Self { body, at: 0 }
     }
 
-    /// Position in the body.
-    pub fn at(&self) -> usize {
+    /// Returns the position in the body.
+    pub fn position(&self) -> usize {
         self.at
     }
 
-    /// True once all is read.
-    pub fn done(&self) -> bool {
+    /// Returns whether all bytes have been read.
+    pub fn is_at_end(&self) -> bool {
         self.at == self.body.len()
     }
 
-    /// The next `n` bytes.
+    /// Reads the next `n` bytes.
     pub fn bytes(&mut self, n: usize) -> Result<&'a [u8], WireError> {
         let end = self.at.checked_add(n).filter(|&e| e <= self.body.len());
         let end = end.ok_or(WireError::Overrun { at: self.at })?;
@@ -104,27 +104,27 @@
         Ok(out)
     }
 
-    /// A `u8`.
+    /// Reads a `u8`.
     pub fn u8(&mut self) -> Result<u8, WireError> {
         Ok(self.array::<1>()?[0])
     }
 
-    /// A `u16`.
+    /// Reads a `u16`.
     pub fn u16(&mut self) -> Result<u16, WireError> {
         Ok(u16::from_le_bytes(self.array()?))
     }
 
-    /// A `u32`.
+    /// Reads a `u32`.
     pub fn u32(&mut self) -> Result<u32, WireError> {
         Ok(u32::from_le_bytes(self.array()?))
     }
 
-    /// A `u64`.
+    /// Reads a `u64`.
     pub fn u64(&mut self) -> Result<u64, WireError> {
         Ok(u64::from_le_bytes(self.array()?))
     }
 
-    /// An `f32`.
+    /// Reads an `f32`.
     pub fn f32(&mut self) -> Result<f32, WireError> {
         Ok(f32::from_le_bytes(self.array()?))
     }
@@ -133,8 +133,8 @@
         Err(WireError::Unknown { at: self.at, what, value })
     }
 
-    /// An outcome.
-    pub fn ending(&mut self) -> Result<CallOutcome, WireError> {
+    /// Reads a call outcome.
+    pub fn outcome(&mut self) -> Result<CallOutcome, WireError> {
         Ok(match self.u8()? {
             0 => CallOutcome::Error,
             1 => CallOutcome::Ok,
@@ -148,8 +148,8 @@
         })
     }
 
-    /// A kind of list event.
-    pub fn list_kind(&mut self) -> Result<ListUpdate, WireError> {
+    /// Reads the kind of a list update.
+    pub fn list_update(&mut self) -> Result<ListUpdate, WireError> {
         Ok(match self.u8()? {
             0 => ListUpdate::Failed,
             1 => ListUpdate::Snapshot,
@@ -159,7 +159,7 @@
         })
     }
 
-    /// A build's phase.
+    /// Reads a rollout phase.
     pub fn phase(&mut self) -> Result<Phase, WireError> {
         Ok(match self.u8()? {
             0 => Phase::Trial,
@@ -170,13 +170,13 @@
         })
     }
 
-    /// A load report.
-    pub fn load(&mut self) -> Result<Vec<f32>, WireError> {
+    /// Reads a load report.
+    pub fn load_report(&mut self) -> Result<Vec<f32>, WireError> {
         let n = self.u8()?;
         (0..n).map(|_| self.f32()).collect()
     }
 
-    /// The entries of a `PAGE`; a claimed count is checked before anything is set aside for it.
+    /// Reads the entries of a `PAGE` record. The stated count is checked before memory is allocated for it.
     pub fn entries(&mut self) -> Result<Vec<MachineEntry>, WireError> {
         let n = self.u32()? as usize;
         let size = n.checked_mul(ENTRY_BYTES).ok_or(WireError::Overrun { at: self.at })?;
@@ -203,7 +203,7 @@
     }
 }
 
-/// Gathers the records of one reply.
+/// Collects the records of a reply.
 #[derive(Default)]
 pub struct Reply {
     body: Vec<u8>,
@@ -212,7 +212,7 @@
 }
 
 impl Reply {
-    /// Forgets the last reply's records.
+    /// Removes the records of the last reply.
     pub fn clear(&mut self) {
         self.body.clear();
         self.records = 0;
@@ -245,11 +245,11 @@
         self
     }
 
-    fn span(&mut self, v: u64) -> &mut Self {
+    fn duration(&mut self, v: u64) -> &mut Self {
         self.u32(u32::try_from(v).unwrap_or(u32::MAX))
     }
 
-    fn blob(&mut self, bytes: &[u8]) -> &mut Self {
+    fn byte_string(&mut self, bytes: &[u8]) -> &mut Self {
         let n = u16::try_from(bytes.len()).unwrap_or(u16::MAX);
         self.u16(n);
         self.body.extend_from_slice(&bytes[..usize::from(n)]);
@@ -263,40 +263,42 @@
         }
     }
 
-    /// Reports a defect inside the decision module.
-    pub fn give_in(&mut self, instance: u32, text: &str) {
+    /// Adds a record that reports a failure inside the decision module.
+    pub fn push_failure(&mut self, instance: u32, text: &str) {
         self.select(instance);
-        self.code(21).blob(text.as_bytes());
+        self.code(21).byte_string(text.as_bytes());
     }
 
-    /// Adds one action of `instance`.
+    /// Adds an action of `instance`.
     pub fn push(&mut self, instance: u32, action: &Action) {
         self.select(instance);
         match action {
-            Action::Send { id, machine, timeout } => self.code(26).u64(*id).u32(*machine).span(*timeout),
-            Action::Refuse { id, retry_after: backoff } => self.code(25).u64(*id).span(*backoff),
+            Action::Send { id, machine, timeout } => self.code(26).u64(*id).u32(*machine).duration(*timeout),
+            Action::Refuse { id, retry_after } => self.code(25).u64(*id).duration(*retry_after),
             Action::Fail { id } => self.code(28).u64(*id),
             Action::Cancel { id, attempt } => self.code(16).u64(*id).u16(*attempt),
             Action::Probe { machine } => self.code(22).u32(*machine),
             Action::Subscribe(on) => self.code(23).u8(u8::from(*on)),
             Action::FetchList => self.code(18),
-            Action::Timer { name, after } => self.code(27).u64(*name).span(*after),
-            Action::Vote { build, stage, vote: verdict } => {
-                let how = match verdict {
+            Action::Timer { name, after } => self.code(27).u64(*name).duration(*after),
+            Action::Vote { build, stage, vote } => {
+                let vote_code = match vote {
                     Vote::Withdraw => 0,
                     Vote::Advance => 1,
                     Vote::Hold => 2,
                     Vote::RollBack => 3,
                 };
-                self.code(24).u16(*build).u8(*stage).u8(how)
+                self.code(24).u16(*build).u8(*stage).u8(vote_code)
             }
             Action::CloseIdle { machine } => self.code(20).u32(*machine),
-            Action::SendToPeer { peer, bytes } => self.code(17).u16(peer.unwrap_or(u16::MAX)).blob(bytes),
-            Action::Log(text) => self.code(19).blob(text.as_bytes()),
+            Action::SendToPeer { peer, bytes } => {
+                self.code(17).u16(peer.unwrap_or(u16::MAX)).byte_string(bytes)
+            }
+            Action::Log(text) => self.code(19).byte_string(text.as_bytes()),
         };
     }
 
-    /// The whole frame answering `batch`.
+    /// Returns the complete frame that answers `batch`.
     pub fn frame(&self, batch: u32) -> Vec<u8> {
         let mut out = Vec::with_capacity(REPLY_HEADER + self.body.len());
         out.extend_from_slice(&batch.to_le_bytes());
--- a/crates/yarrowspoke-drill/tests/frames.rs
+++ b/crates/yarrowspoke-drill/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames to the byte, malformed frames, and the adapter run as a process.
+//! Exact bytes of frames, rejection of malformed frames, and the adapter run as a process.
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
@@ -33,7 +33,7 @@
         self.put(22, &[&instance.to_le_bytes()])
     }
 
-    fn enlist(self, seed: u64) -> Self {
+    fn start_instance(self, seed: u64) -> Self {
         let n = SETTINGS.len() as u32;
         self.put(20, &[&seed.to_le_bytes(), &n.to_le_bytes(), SETTINGS.as_bytes()])
     }
@@ -52,11 +52,11 @@
         self.put(18, &[&number.to_le_bytes(), &n.to_le_bytes(), &rows])
     }
 
-    fn topology(self, number: u32) -> Self {
+    fn list_update(self, number: u32) -> Self {
         self.put(30, &[&number.to_le_bytes(), &[3], &1u64.to_le_bytes()])
     }
 
-    fn news(self) -> Self {
+    fn rollout_status(self) -> Self {
         let cap = 1f32.to_le_bytes();
         self.put(24, &[&41u16.to_le_bytes(), &[1, 2, 0, 1], &cap, &0u32.to_le_bytes()])
     }
@@ -93,7 +93,8 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-/// The records of each reply, split by instance: whatever shares a process must act alike.
+/// Returns the records of one instance from all replies. An instance must behave the same whether or not it shares its
+/// process with others.
 fn by_instance(mut replies: &[u8], instance: u32) -> Vec<u8> {
     let mut out = Vec::new();
     while !replies.is_empty() {
@@ -102,7 +103,7 @@
         let mut r = Reader::new(&replies[12..length]);
         let mut current = None;
         for _ in 0..records {
-            let start = r.at();
+            let start = r.position();
             let code = r.u8().expect("a record");
             let size = match code {
                 29 => 4,
@@ -119,7 +120,7 @@
             if code == 29 {
                 current = Some(u32::from_le_bytes(body.try_into().expect("four bytes")));
             } else if current == Some(instance) {
-                out.extend_from_slice(&replies[12 + start..12 + r.at()]);
+                out.extend_from_slice(&replies[12 + start..12 + r.position()]);
             }
         }
         replies = &replies[length..];
@@ -169,7 +170,7 @@
         assert_eq!(frame[17..], bytes, "{action:?}");
     }
     let mut reply = Reply::default();
-    reply.give_in(3, "index");
+    reply.push_failure(3, "index");
     assert_eq!(reply.frame(1)[17..], *b"\x15\x05\0index");
 }
 
@@ -178,10 +179,10 @@
     let (id, m) = (9u64.to_le_bytes(), 7u32.to_le_bytes());
     let batch = Batch::default()
         .on(3)
-        .enlist(5)
+        .start_instance(5)
         .page(0, &[7, 8])
-        .topology(0)
-        .news()
+        .list_update(0)
+        .rollout_status()
         .request(9)
         .put(19, &[&[0; 8]])
         .put(27, &[&id, &[0, 0], &m, &[0; 4]])
@@ -193,8 +194,8 @@
         .put(17, &[&id])
         .put(26, &[])
         .on(3)
-        .enlist(6)
-        .topology(0)
+        .start_instance(6)
+        .list_update(0)
         .frame(1, 1_000_000);
     let replies = serve(&batch).unwrap();
     let acts = by_instance(&replies, 3);
@@ -202,8 +203,9 @@
 }
 
 #[test]
-fn a_list_number_is_used_again_within_a_batch() {
-    let batch = Batch::default().on(1).enlist(1).page(0, &[7]).topology(0).news().request(1);
+fn a_list_number_can_be_reused_within_a_batch() {
+    let batch =
+        Batch::default().on(1).start_instance(1).page(0, &[7]).list_update(0).rollout_status().request(1);
     let batch = batch.page(0, &[9]).put(30, &[&[0; 4], &[1], &[0; 8]]).request(2).frame(1, 5);
     let acts = by_instance(&serve(&batch).unwrap(), 1);
     let sends: Vec<u32> = acts
@@ -215,10 +217,11 @@
 }
 
 #[test]
-fn bad_input_is_named_in_one_line() {
-    let whole = Batch::default().on(1).enlist(1).frame(1, 5);
+fn malformed_input_is_reported_in_one_line() {
+    let whole = Batch::default().on(1).start_instance(1).frame(1, 5);
     let unknown = Batch::default().put(99, &[]).frame(1, 5);
-    let orphan = Batch::default().on(1).enlist(1).put(30, &[&[3, 0, 0, 0], &[1], &[0; 8]]).frame(1, 5);
+    let orphan =
+        Batch::default().on(1).start_instance(1).put(30, &[&[3, 0, 0, 0], &[1], &[0; 8]]).frame(1, 5);
     let nobody = Batch::default().on(4).request(1).frame(1, 5);
     let nowhere = Batch::default().request(1).frame(1, 5);
     let settings = Batch::default().on(1).put(20, &[&[0; 8], &[1, 0, 0, 0], b"{"]).frame(1, 5);
@@ -253,7 +256,15 @@
 #[test]
 fn the_process_answers_and_ends_cleanly_and_fails_with_a_message() {
     let mut input = Batch::default().frame(1, 1);
-    input.extend(Batch::default().on(3).enlist(7).page(0, &[7, 8]).topology(0).news().frame(2, 5_000));
+    input.extend(
+        Batch::default()
+            .on(3)
+            .start_instance(7)
+            .page(0, &[7, 8])
+            .list_update(0)
+            .rollout_status()
+            .frame(2, 5_000),
+    );
     input.extend(Batch::default().on(3).request(77).frame(3, 10_000));
     let done = run(&input);
     assert!(done.status.success() && done.stderr.is_empty());
@@ -265,12 +276,12 @@
 }
 
 #[test]
-fn instances_act_alike_in_one_process_and_in_several() {
+fn instances_behave_the_same_in_one_process_and_in_several() {
     let talk = |instances: &[u32]| {
         let mut input = Vec::new();
         let mut first = Batch::default().page(0, &[7, 8, 9]);
         for i in instances {
-            first = first.on(*i).enlist(u64::from(*i)).topology(0).news();
+            first = first.on(*i).start_instance(u64::from(*i)).list_update(0).rollout_status();
         }
         input.extend(first.frame(1, 1_000));
         for n in 0..60u32 {
@@ -302,7 +313,7 @@
 
     #[test]
     fn a_damaged_conversation_never_panics(at in 0usize..400, to in any::<u8>(), cut in 0usize..400) {
-        let mut bytes = Batch::default().on(3).enlist(5).page(0, &[7, 8]).topology(0).news().request(9).frame(1, 9);
+        let mut bytes = Batch::default().on(3).start_instance(5).page(0, &[7, 8]).list_update(0).rollout_status().request(9).frame(1, 9);
         let n = bytes.len();
         bytes[at % n] = to;
         let _ = serve(&bytes);
