--- a/crates/yarrowspoke-operator/src/lib.rs
+++ b/crates/yarrowspoke-operator/src/lib.rs
@@ -106,22 +106,22 @@
 }
 
 fn verdicts(section: &Form, faults: &mut Vec<Fault>) -> ErrorRates {
-    let mut v = ErrorRates {
+    let mut rates = ErrorRates {
         false_rollback: f64::NAN,
         missed_fault: f64::NAN,
         min_failure_increase: f64::NAN,
         min_slowdown: f64::NAN,
     };
     for field in section.fields(faults) {
-        let rate = |x: f64| x > 0.0 && x < 0.5;
-        let (slot, holds, expected): (&mut f64, fn(f64) -> bool, &str) = match field.name.as_str() {
-            "false-alarm" => (&mut v.false_rollback, rate, "a rate above 0 and under 0.5"),
-            "miss" => (&mut v.missed_fault, rate, "a rate above 0 and under 0.5"),
+        let is_rate = |x: f64| x > 0.0 && x < 0.5;
+        let (slot, is_valid, expected): (&mut f64, fn(f64) -> bool, &str) = match field.name.as_str() {
+            "false-alarm" => (&mut rates.false_rollback, is_rate, "a rate above 0 and under 0.5"),
+            "miss" => (&mut rates.missed_fault, is_rate, "a rate above 0 and under 0.5"),
             "least-fault" => {
-                (&mut v.min_failure_increase, |x| x > 0.0 && x <= 0.9, "a share above 0, at most 0.9")
+                (&mut rates.min_failure_increase, |x| x > 0.0 && x <= 0.9, "a share above 0, at most 0.9")
             }
             "least-slowness" => {
-                (&mut v.min_slowdown, |x| x > 1.15 && x <= 100.0, "a multiple above 1.15, at most 100")
+                (&mut rates.min_slowdown, |x| x > 1.15 && x <= 100.0, "a multiple above 1.15, at most 100")
             }
             _ => {
                 faults.push(field.fault("one of the fields: false-alarm, miss, least-fault, least-slowness"));
@@ -130,19 +130,19 @@
         };
         if !slot.is_nan() {
             faults.push(field.fault("each field once"));
-        } else if let Some(x) = field.number(expected, faults, holds) {
+        } else if let Some(x) = field.number(expected, faults, is_valid) {
             *slot = x;
         }
     }
-    let all = [
-        ("false-alarm", v.false_rollback),
-        ("miss", v.missed_fault),
-        ("least-fault", v.min_failure_increase),
-        ("least-slowness", v.min_slowdown),
+    let values = [
+        ("false-alarm", rates.false_rollback),
+        ("miss", rates.missed_fault),
+        ("least-fault", rates.min_failure_increase),
+        ("least-slowness", rates.min_slowdown),
     ];
-    let named = section.names();
-    for (name, _) in all.iter().filter(|f| f.1.is_nan() && !named.iter().any(|n| n == f.0)) {
+    let present = section.names();
+    for (name, _) in values.iter().filter(|f| f.1.is_nan() && !present.iter().any(|n| n == f.0)) {
         faults.push(section.fault(&format!("the field {name} in it")));
     }
-    v
+    rates
 }
--- a/crates/yarrowspoke-operator/tests/faults.rs
+++ b/crates/yarrowspoke-operator/tests/faults.rs
@@ -1,12 +1,12 @@
-//! Files that are right, and what is said of those that are not.
+//! Valid files, and the faults reported for invalid ones.
 
 use yarrowspoke_operator::parse;
 
-const RIGHT: &str = "; a comment\n(verdicts\n  (false-alarm 0.02)\n  (miss 0.05)\n  (least-fault 0.05)\n  (least-slowness 1.5))\n";
+const VALID: &str = "; a comment\n(verdicts\n  (false-alarm 0.02)\n  (miss 0.05)\n  (least-fault 0.05)\n  (least-slowness 1.5))\n";
 
 #[test]
-fn a_right_file_is_read_and_an_empty_one_switches_nothing_on() {
-    let v = parse(RIGHT).unwrap().error_rates.unwrap();
+fn a_valid_file_is_read_and_an_empty_one_enables_nothing() {
+    let v = parse(VALID).unwrap().error_rates.unwrap();
     assert_eq!(
         (v.false_rollback, v.missed_fault, v.min_failure_increase, v.min_slowdown),
         (0.02, 0.05, 0.05, 1.5)
@@ -15,21 +15,21 @@
 }
 
 #[test]
-fn the_file_that_is_deployed_states_what_the_module_takes_by_itself() {
+fn the_deployed_file_states_the_defaults_of_the_module() {
     let deployed = parse(include_str!("../../../deploy/operator.sexp")).unwrap();
     assert_eq!(deployed.error_rates, Some(yarrowspoke::rules::DEFAULT_ERROR_RATES));
 }
 
-/// Each fault with its place and a word of what was expected.
-fn said(text: &str) -> Vec<(usize, usize, String)> {
+/// Returns each fault with its position and the texts of what was found and expected.
+fn reported(text: &str) -> Vec<(usize, usize, String)> {
     let faults = parse(text).unwrap_err();
     faults.into_iter().map(|f| (f.line, f.column, format!("{} | {}", f.found, f.expected))).collect()
 }
 
 #[test]
-fn every_fault_is_told_with_its_place() {
-    let text = RIGHT.replace("0.02", "0.7").replace("(miss 0.05)", "(mis 0.05)").replace("1.5", "fast");
-    let faults = said(&text);
+fn every_fault_is_reported_with_its_position() {
+    let text = VALID.replace("0.02", "0.7").replace("(miss 0.05)", "(mis 0.05)").replace("1.5", "fast");
+    let faults = reported(&text);
     let places: Vec<(usize, usize)> = faults.iter().map(|f| (f.0, f.1)).collect();
     assert_eq!(places, [(2, 1), (3, 16), (4, 3), (6, 19)], "{faults:?}");
     assert!(faults[0].2.contains("miss") && faults[1].2.contains("0.7 | a rate above 0 and under 0.5"));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_has_no_sense_is_refused() {
+fn invalid_values_are_refused() {
     for (from, to) in [
         ("0.02", "0"),
         ("0.02", "0.5"),
@@ -53,7 +53,7 @@
         ("1.5))", "1.5)"),
         ("; a comment", "7 (verdicts)"),
     ] {
-        assert!(parse(&RIGHT.replace(from, to)).is_err(), "{from} -> {to}");
+        assert!(parse(&VALID.replace(from, to)).is_err(), "{from} -> {to}");
     }
 }
 
@@ -69,7 +69,7 @@
 "#;
 
 #[test]
-fn rules_are_read_whole() {
+fn rules_are_read_completely() {
     let rules = parse(RULES).unwrap_or_else(|f| panic!("{f:?}")).rules.unwrap();
     assert_eq!((rules.set.len(), rules.set.name(1)), (2, "election night"));
     let says = rules.set.says(1);
@@ -79,8 +79,8 @@
 }
 
 #[test]
-fn faults_in_rules_tell_the_place_in_the_file() {
-    // Each change, what then stands where the fault is, and a word of what was expected.
+fn faults_in_rules_report_the_position_in_the_file() {
+    // Each change, the text at the position of the fault after it, and a part of what was expected.
     for (from, to, at, word) in [
         ("(order all)", "(order some)", "some)", "first or all"),
         ("(order all)", "(order all) (order first)", "(order first", "each field once"),
@@ -104,10 +104,10 @@
     ] {
         let text = RULES.replace(from, to);
         assert_ne!(text, RULES, "{from}");
-        let begun = text.find(at).unwrap();
-        let line = text[..begun].matches('\n').count() + 1;
-        let column = begun - text[..begun].rfind('\n').map_or(0, |n| n + 1) + 1;
-        let faults = said(&text);
+        let start = text.find(at).unwrap();
+        let line = text[..start].matches('\n').count() + 1;
+        let column = start - text[..start].rfind('\n').map_or(0, |n| n + 1) + 1;
+        let faults = reported(&text);
         let right = faults.iter().any(|f| (f.0, f.1) == (line, column) && f.2.contains(word));
         assert!(right, "{from} -> {to}, at {line}:{column}: {faults:?}");
     }
--- a/crates/yarrowspoke-operator/tests/fleet.rs
+++ b/crates/yarrowspoke-operator/tests/fleet.rs
@@ -1,9 +1,9 @@
-//! The section `fleet`: what is read, and what is refused with its place.
+//! The section `fleet`: valid sections, and faults with their positions.
 
 use yarrowspoke_fleet::settings::{Alone, Limit, Role};
 use yarrowspoke_operator::parse;
 
-const RIGHT: &str = r#"(fleet
+const VALID: &str = r#"(fleet
   (renew 0.2)
   (lease 1.5)
   (most-out 0.2)
@@ -17,8 +17,8 @@
 "#;
 
 #[test]
-fn a_right_section_is_read() {
-    let fleet = parse(RIGHT).unwrap().fleet.unwrap();
+fn a_valid_section_is_read() {
+    let fleet = parse(VALID).unwrap().fleet.unwrap();
     assert!(fleet.warnings.is_empty());
     let fleet = fleet.fleet;
     assert_eq!((fleet.renew, fleet.lease, fleet.alone), (200_000, 1_500_000, Alone::Narrow));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn what_would_not_hold_is_refused_with_line_column_and_what_was_expected() {
+fn an_invalid_section_is_refused_with_line_column_and_what_was_expected() {
     for (from, to, at, expected) in [
         ("(role front) (zone a)", "(role fron) (zone a)", (7, 27), "front or planner"),
         ("(name f1)", "(name f0)", (8, 3), "each name once, and f0 is there already"),
@@ -56,8 +56,8 @@
         ("(alone narrow)", "(lonely narrow)", (6, 3), "one of the fields"),
         ("(member (name f1) (role front) (zone b))", "(member (name f1))", (8, 3), "name and role"),
     ] {
-        assert!(RIGHT.contains(from));
-        let faults = parse(&RIGHT.replace(from, to)).unwrap_err();
+        assert!(VALID.contains(from));
+        let faults = parse(&VALID.replace(from, to)).unwrap_err();
         let place =
             |f: &yarrowspoke_operator::Fault| (f.line, f.column) == at && f.expected.contains(expected);
         assert!(faults.iter().any(place), "{to}: {faults:?}");
@@ -65,10 +65,10 @@
 }
 
 #[test]
-fn too_few_planners_are_refused_and_four_draw_a_warning() {
+fn too_few_planners_are_refused_and_four_give_a_warning() {
     let without = |n: usize| {
         let line = |l: &&str| !(0..n).any(|p| l.contains(&format!("(name p{})", 2 - p)));
-        let text: String = RIGHT.lines().filter(line).map(|l| format!("{l}\n")).collect();
+        let text: String = VALID.lines().filter(line).map(|l| format!("{l}\n")).collect();
         if text.trim_end().ends_with(")))") && !text.contains("p2") {
             text
         } else {
@@ -81,7 +81,7 @@
     }
     assert!(parse(&without(2)).is_ok());
     let four =
-        RIGHT.replace("(alone narrow)", "(member (name p3) (role planner) (address \"127.0.0.1:7103\"))");
+        VALID.replace("(alone narrow)", "(member (name p3) (role planner) (address \"127.0.0.1:7103\"))");
     let warnings = parse(&four).unwrap().fleet.unwrap().warnings;
     assert!(
         warnings.len() == 1 && warnings[0].2.contains("4 planners bear no more losses than 3"),
@@ -92,24 +92,28 @@
 const PACED: &str = "(alone narrow)\n  (paced (pace 0.5) (lists delta) (spans home))";
 
 #[test]
-fn the_form_paced_is_off_unless_present_and_read_where_it_is() {
+fn the_form_paced_is_read_if_present_and_off_otherwise() {
     use yarrowspoke_fleet::settings::{Lists, Paced, Spans};
     let paced = |form: &str| {
-        let text = RIGHT.replace("(alone narrow)", form).replace("(lease 1.5)", "(lease 1.6)");
+        let text = VALID.replace("(alone narrow)", form).replace("(lease 1.5)", "(lease 1.6)");
         parse(&text).unwrap().fleet.unwrap().fleet.paced
     };
     assert_eq!(paced("(alone narrow)"), None);
     let both = Paced { pace: 500_000, lists: Lists::Delta, spans: Spans::Home };
     assert_eq!(paced(PACED), Some(both));
-    assert_eq!(paced("(paced (pace 0.5))"), Some(both), "whoever sets a pace wants the rest of it");
+    assert_eq!(
+        paced("(paced (pace 0.5))"),
+        Some(both),
+        "a pace alone implies the defaults of the other fields"
+    );
     let neither = Paced { lists: Lists::Whole, spans: Spans::All, ..both };
     assert_eq!(paced("(paced (pace 0.5) (lists whole) (spans all))"), Some(neither));
 }
 
 #[test]
-fn a_form_paced_that_would_not_hold_is_refused_with_line_column_and_what_was_expected() {
-    let right = RIGHT.replace("(alone narrow)", PACED).replace("(lease 1.5)", "(lease 1.6)");
-    assert!(parse(&right).is_ok());
+fn an_invalid_form_paced_is_refused_with_line_column_and_what_was_expected() {
+    let valid = VALID.replace("(alone narrow)", PACED).replace("(lease 1.5)", "(lease 1.6)");
+    assert!(parse(&valid).is_ok());
     for (from, to, at, expected) in [
         ("(pace 0.5)", "(pace soon)", (7, 16), "seconds, 0.02 to 60"),
         ("(pace 0.5)", "(pace 0.1)", (7, 3), "a pace from renew to renew for each planner, 0.200 to 0.600 s"),
@@ -127,8 +131,8 @@
             "each field but member once",
         ),
     ] {
-        assert!(right.contains(from), "{from}");
-        let text = right.replace(from, to);
+        assert!(valid.contains(from), "{from}");
+        let text = valid.replace(from, to);
         let faults = parse(&text).err().unwrap_or_default();
         let place =
             |f: &yarrowspoke_operator::Fault| (f.line, f.column) == at && f.expected.contains(expected);
--- a/crates/yarrowspoke-store/benches/engines.rs
+++ b/crates/yarrowspoke-store/benches/engines.rs
@@ -1,7 +1,8 @@
-//! The engines weighed for the store, on what counts here: durable writes alone and in groups, memory, threads,
-//! descriptors, size, opening, and what each makes of its largest file being cut.
+//! Compares database engines for the store: durable writes, single and grouped, memory, threads, descriptors, file size, time
+//! to open, and the reaction to a truncated file.
 //!
-//! `cargo bench -p yarrowspoke-store --bench engines`. Figures are of one run on one machine; ratios within it count.
+//! Run with `cargo bench -p yarrowspoke-store --bench engines`. Figures of one run on one machine can only be compared with
+//! each other.
 
 use std::error::Error;
 use std::path::{Path, PathBuf};
@@ -9,20 +10,20 @@
 
 type Result<T> = std::result::Result<T, Box<dyn Error>>;
 
-const SINGLE: u64 = 300;
-const GROUPED: u64 = 20_000;
-const GROUP: u64 = 256;
+const SINGLE_WRITES: u64 = 300;
+const GROUPED_WRITES: u64 = 20_000;
+const GROUP_SIZE: u64 = 256;
 const VALUE: [u8; 60] = [7; 60];
-/// Cuts of the largest file, spread evenly.
-const CUTS: u64 = 60;
+/// Number of lengths, evenly spread, to which the largest file is truncated.
+const TRUNCATIONS: u64 = 60;
 
-/// An engine under its own interface.
+/// A database engine.
 trait Engine: Sized {
     const NAME: &'static str;
     fn open(dir: &Path) -> Result<Self>;
-    /// Writes these keys durably, together.
-    fn group(&mut self, keys: std::ops::Range<u64>) -> Result<()>;
-    /// How many records there are, each of them read.
+    /// Writes these keys durably in one commit.
+    fn write_group(&mut self, keys: std::ops::Range<u64>) -> Result<()>;
+    /// Reads all records and returns their number.
     fn count(&mut self) -> Result<u64>;
 }
 
@@ -38,7 +39,7 @@
         Ok(Self(builder.create(dir.join("db"))?))
     }
 
-    fn group(&mut self, keys: std::ops::Range<u64>) -> Result<()> {
+    fn write_group(&mut self, keys: std::ops::Range<u64>) -> Result<()> {
         let write = self.0.begin_write()?;
         {
             let mut table = write.open_table(REDB)?;
@@ -72,7 +73,7 @@
         Ok(Self(db, keys))
     }
 
-    fn group(&mut self, keys: std::ops::Range<u64>) -> Result<()> {
+    fn write_group(&mut self, keys: std::ops::Range<u64>) -> Result<()> {
         let mut batch = self.0.batch();
         for key in keys {
             batch.insert(&self.1, (u128::from(key) << 64).to_be_bytes(), VALUE);
@@ -108,7 +109,7 @@
         Ok(Self(made?))
     }
 
-    fn group(&mut self, keys: std::ops::Range<u64>) -> Result<()> {
+    fn write_group(&mut self, keys: std::ops::Range<u64>) -> Result<()> {
         let mut tx = self.0.begin()?;
         for key in keys {
             tx.put::<u128, persy::ByteVec>("t", u128::from(key) << 64, VALUE.to_vec().into())?;
@@ -121,8 +122,8 @@
     }
 }
 
-/// A figure of this process by its name in the system's own table, in kB or as a number.
-fn own(name: &str) -> u64 {
+/// Returns a value of this process from `/proc/self/status` by its name, in kB or as a count.
+fn process_status(name: &str) -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|l| l.starts_with(name));
     line.and_then(|l| l.split_whitespace().nth(1)).and_then(|n| n.parse().ok()).unwrap_or(0)
@@ -158,40 +159,43 @@
     Ok(())
 }
 
-fn weigh<E: Engine>() -> Result<()> {
+fn measure<E: Engine>() -> Result<()> {
     let root = std::env::temp_dir().join(format!("yarrowspoke-engines-{}-{}", std::process::id(), E::NAME));
     let dir = root.join("own");
     std::fs::create_dir_all(&dir)?;
-    let before = (own("VmRSS"), own("Threads"), descriptors());
+    let before = (process_status("VmRSS"), process_status("Threads"), descriptors());
     let mut engine = E::open(&dir)?;
-    let begun = Instant::now();
-    for key in 0..SINGLE {
-        engine.group(key..key + 1)?;
+    let started = Instant::now();
+    for key in 0..SINGLE_WRITES {
+        engine.write_group(key..key + 1)?;
     }
-    let single = SINGLE as f64 / begun.elapsed().as_secs_f64();
-    let begun = Instant::now();
-    for from in (SINGLE..SINGLE + GROUPED).step_by(GROUP as usize) {
-        engine.group(from..(from + GROUP).min(SINGLE + GROUPED))?;
+    let single = SINGLE_WRITES as f64 / started.elapsed().as_secs_f64();
+    let started = Instant::now();
+    for from in (SINGLE_WRITES..SINGLE_WRITES + GROUPED_WRITES).step_by(GROUP_SIZE as usize) {
+        engine.write_group(from..(from + GROUP_SIZE).min(SINGLE_WRITES + GROUPED_WRITES))?;
     }
-    let grouped = GROUPED as f64 / begun.elapsed().as_secs_f64();
-    let held =
-        (own("VmRSS") - before.0.min(own("VmRSS")), own("Threads") - before.1, descriptors() - before.2);
+    let grouped = GROUPED_WRITES as f64 / started.elapsed().as_secs_f64();
+    let increase = (
+        process_status("VmRSS") - before.0.min(process_status("VmRSS")),
+        process_status("Threads") - before.1,
+        descriptors() - before.2,
+    );
     drop(engine);
     let size: u64 = files(&dir).iter().map(|f| f.1).sum();
-    let begun = Instant::now();
-    let all = E::open(&dir)?.count()?;
-    let opening = begun.elapsed().as_secs_f64() * 1e3;
-    // Cut at many places: refused, opened with all, opened with less and no word, or a panic.
+    let started = Instant::now();
+    let records = E::open(&dir)?.count()?;
+    let opening = started.elapsed().as_secs_f64() * 1e3;
+    // Counts the results of opening truncated copies: refused, all records, fewer records without an error, or a panic.
     let (mut refused, mut whole, mut less, mut panicked) = (0, 0, 0, 0);
     let (largest, length) = files(&dir).into_iter().max_by_key(|f| f.1).ok_or("no file")?;
-    for n in 0..CUTS {
+    for n in 0..TRUNCATIONS {
         let copied = root.join("cut");
         copy(&dir, &copied)?;
         let cut = copied.join(largest.strip_prefix(&dir)?);
-        std::fs::OpenOptions::new().write(true).open(&cut)?.set_len(length * n / CUTS)?;
+        std::fs::OpenOptions::new().write(true).open(&cut)?.set_len(length * n / TRUNCATIONS)?;
         let tried = std::panic::catch_unwind(|| E::open(&copied).and_then(|mut e| e.count()));
         match tried {
-            Ok(Ok(count)) if count == all => whole += 1,
+            Ok(Ok(count)) if count == records => whole += 1,
             Ok(Ok(_)) => less += 1,
             Ok(Err(_)) => refused += 1,
             Err(_) => panicked += 1,
@@ -200,21 +204,21 @@
     }
     std::fs::remove_dir_all(&root)?;
     println!(
-        "{:<6} one by one {single:>7.0}/s, in groups of {GROUP} {grouped:>8.0}/s ({:.0} times); +{} kB, +{} threads, \
-         +{} descriptors; {size} bytes for {all} records, opened and read in {opening:.1} ms; \
-         cut {CUTS} times: {refused} refused, {whole} whole, {less} less without a word, {panicked} panicked",
+        "{:<6} one by one {single:>7.0}/s, in groups of {GROUP_SIZE} {grouped:>8.0}/s ({:.0} times); +{} kB, +{} threads, \
+         +{} descriptors; {size} bytes for {records} records, opened and read in {opening:.1} ms; \
+         cut {TRUNCATIONS} times: {refused} refused, {whole} whole, {less} less without a word, {panicked} panicked",
         E::NAME,
         grouped / single,
-        held.0,
-        held.1,
-        held.2,
+        increase.0,
+        increase.1,
+        increase.2,
     );
     Ok(())
 }
 
 fn main() -> Result<()> {
     std::panic::set_hook(Box::new(|_| {}));
-    weigh::<Redb>()?;
-    weigh::<Persy>()?;
-    weigh::<Fjall>()
+    measure::<Redb>()?;
+    measure::<Persy>()?;
+    measure::<Fjall>()
 }
--- a/crates/yarrowspoke-store/tests/model.rs
+++ b/crates/yarrowspoke-store/tests/model.rs
@@ -1,12 +1,12 @@
-//! The ledger's rules, checked over all interleavings of asking, sending, ending, committing, crashing and asking again,
-//! within a bound. The rulings are those of the crate; around them stands a front and a disk in small.
+//! Model checks the ledger's decisions over all bounded interleavings of requesting, sending, finishing, committing, crashing
+//! and retrying. The decisions are the crate's own code; the front and the disk around it are simplified models.
 
 use stateright::{Checker, Model, Property};
 use yarrowspoke_store::ledger::{decide, record_end, Decision, Outcome, Record, SpaceUsage, State};
 
-/// What a client was told.
+/// An answer to a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Told {
+enum Answer {
     Served,
     Failed,
     Refused,
@@ -15,65 +15,65 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Front {
     Idle,
-    /// Its intent is on its way to the disk.
+    /// Its intent is being written to disk.
     Beginning,
-    /// It may go to a machine, and has or has not run in this life.
+    /// It may be sent to a machine; the flag says whether it has run in this incarnation.
     Sent(bool),
-    /// Its end is on its way to the disk.
+    /// Its end is being written to disk.
     Ending,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Op {
     Begin(usize),
-    End(usize, Told),
+    End(usize, Answer),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct World {
-    /// What is durable.
+    /// Durable records.
     disk: Vec<Option<Record>>,
-    /// What waits for the disk, in order.
+    /// Operations that wait for the disk, in order.
     group: Vec<Op>,
-    /// What the group came to, once it is durable and nobody has heard of it yet.
+    /// Results of the group, once it is durable and before any client is notified.
     durable: Option<Vec<Option<Decision>>>,
     fronts: Vec<Front>,
     runs: Vec<u8>,
-    told: Vec<Vec<Told>>,
-    asks: Vec<u8>,
+    answers: Vec<Vec<Answer>>,
+    requests_left: Vec<u8>,
     crashes: u8,
     incarnation: u64,
-    /// A request ran after its client had been told that it had not, and had not asked again.
+    /// A request ran although its client was informed that it had not, and the client had not retried.
     broken_promise: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    Ask(usize),
+    Request(usize),
     Run(usize),
-    Finish(usize, Told),
+    Finish(usize, Answer),
     Commit,
-    Hear,
+    Notify,
     Crash,
 }
 
-/// The model; `early` is a mistake: the client is told before its answer is durable.
+/// The model. `answers_early` injects a fault: the client is answered before the answer is durable.
 struct Ledger {
     requests: usize,
-    asks: u8,
+    requests_left: u8,
     crashes: u8,
-    early: bool,
+    answers_early: bool,
 }
 
-const ROOM: SpaceUsage = SpaceUsage { bytes: 0, max_bytes: u64::MAX, first_expiry: None };
+const EMPTY_LEDGER: SpaceUsage = SpaceUsage { bytes: 0, max_bytes: u64::MAX, first_expiry: None };
 const NOW: u64 = 1;
 const UNTIL: u64 = 1_000;
 
-fn recorded(told: Told) -> State {
-    match told {
-        Told::Served => State::Done(Outcome::Served(None)),
-        Told::Failed => State::Done(Outcome::Failed),
-        Told::Refused => State::NotRun,
+fn final_state(answer: Answer) -> State {
+    match answer {
+        Answer::Served => State::Done(Outcome::Served(None)),
+        Answer::Failed => State::Done(Outcome::Failed),
+        Answer::Refused => State::NotRun,
     }
 }
 
@@ -81,19 +81,19 @@
     fn commit(&mut self, op: &Op) -> Option<Decision> {
         match op {
             Op::Begin(r) => {
-                let ruling = decide(self.disk[*r].as_ref(), self.incarnation, NOW, &ROOM, 1);
-                if ruling == Decision::Admit {
+                let decision = decide(self.disk[*r].as_ref(), self.incarnation, NOW, &EMPTY_LEDGER, 1);
+                if decision == Decision::Admit {
                     self.disk[*r] = Some(Record {
                         state: State::Intended,
                         incarnation: self.incarnation,
                         expires_at: UNTIL,
                     });
                 }
-                Some(ruling)
+                Some(decision)
             }
-            Op::End(r, told) => {
+            Op::End(r, answer) => {
                 if let Some(ended) =
-                    record_end(self.disk[*r].as_ref(), self.incarnation, recorded(*told), UNTIL)
+                    record_end(self.disk[*r].as_ref(), self.incarnation, final_state(*answer), UNTIL)
                 {
                     self.disk[*r] = Some(ended);
                 }
@@ -102,21 +102,21 @@
         }
     }
 
-    fn hear(&mut self, op: Op, ruling: Option<Decision>, early: bool) {
-        match (op, ruling) {
-            (Op::Begin(r), Some(ruling)) => {
+    fn notify(&mut self, op: Op, decision: Option<Decision>, answers_early: bool) {
+        match (op, decision) {
+            (Op::Begin(r), Some(decision)) => {
                 self.fronts[r] = Front::Idle;
-                match ruling {
+                match decision {
                     Decision::Admit => self.fronts[r] = Front::Sent(false),
-                    Decision::Replay(_) | Decision::AlreadyDone => self.told[r].push(Told::Served),
-                    Decision::FailedBefore | Decision::InDoubt => self.told[r].push(Told::Failed),
+                    Decision::Replay(_) | Decision::AlreadyDone => self.answers[r].push(Answer::Served),
+                    Decision::FailedBefore | Decision::InDoubt => self.answers[r].push(Answer::Failed),
                     Decision::InProgress | Decision::NoSpace(_) => {}
                 }
             }
-            (Op::End(r, told), _) => {
+            (Op::End(r, answer), _) => {
                 self.fronts[r] = Front::Idle;
-                if !early {
-                    self.told[r].push(told);
+                if !answers_early {
+                    self.answers[r].push(answer);
                 }
             }
             _ => {}
@@ -135,112 +135,119 @@
             durable: None,
             fronts: vec![Front::Idle; self.requests],
             runs: vec![0; self.requests],
-            told: vec![vec![]; self.requests],
-            asks: vec![self.asks; self.requests],
+            answers: vec![vec![]; self.requests],
+            requests_left: vec![self.requests_left; self.requests],
             crashes: self.crashes,
             incarnation: 1,
             broken_promise: false,
         }]
     }
 
-    fn actions(&self, w: &World, out: &mut Vec<Step>) {
+    fn actions(&self, world: &World, out: &mut Vec<Step>) {
         for r in 0..self.requests {
-            match &w.fronts[r] {
-                Front::Idle if w.asks[r] > 0 && w.durable.is_none() => out.push(Step::Ask(r)),
+            match &world.fronts[r] {
+                Front::Idle if world.requests_left[r] > 0 && world.durable.is_none() => {
+                    out.push(Step::Request(r))
+                }
                 Front::Sent(ran) => {
                     if !ran {
                         out.push(Step::Run(r));
                     }
-                    if w.durable.is_none() {
-                        // Served only if it ran; known not to have run only if it did not.
-                        out.push(Step::Finish(r, if *ran { Told::Served } else { Told::Refused }));
-                        out.push(Step::Finish(r, Told::Failed));
+                    if world.durable.is_none() {
+                        // A request is served only if it ran, and known not to have run only if it did not.
+                        out.push(Step::Finish(r, if *ran { Answer::Served } else { Answer::Refused }));
+                        out.push(Step::Finish(r, Answer::Failed));
                     }
                 }
                 _ => {}
             }
         }
-        if !w.group.is_empty() && w.durable.is_none() {
+        if !world.group.is_empty() && world.durable.is_none() {
             out.push(Step::Commit);
         }
-        if w.durable.is_some() {
-            out.push(Step::Hear);
+        if world.durable.is_some() {
+            out.push(Step::Notify);
         }
-        if w.crashes > 0 {
+        if world.crashes > 0 {
             out.push(Step::Crash);
         }
     }
 
     fn next_state(&self, before: &World, step: Step) -> Option<World> {
-        let mut w = before.clone();
+        let mut world = before.clone();
         match step {
-            Step::Ask(r) => {
-                w.asks[r] -= 1;
-                w.fronts[r] = Front::Beginning;
-                w.group.push(Op::Begin(r));
+            Step::Request(r) => {
+                world.requests_left[r] -= 1;
+                world.fronts[r] = Front::Beginning;
+                world.group.push(Op::Begin(r));
             }
             Step::Run(r) => {
-                w.runs[r] += 1;
-                w.fronts[r] = Front::Sent(true);
+                world.runs[r] += 1;
+                world.fronts[r] = Front::Sent(true);
             }
-            Step::Finish(r, told) => {
-                if self.early {
-                    w.told[r].push(told);
+            Step::Finish(r, answer) => {
+                if self.answers_early {
+                    world.answers[r].push(answer);
                 }
-                w.fronts[r] = Front::Ending;
-                w.group.push(Op::End(r, told));
+                world.fronts[r] = Front::Ending;
+                world.group.push(Op::End(r, answer));
             }
             Step::Commit => {
-                let done = w.group.clone().iter().map(|op| w.commit(op)).collect();
-                w.durable = Some(done);
+                let done = world.group.clone().iter().map(|op| world.commit(op)).collect();
+                world.durable = Some(done);
             }
-            Step::Hear => {
-                let rulings = w.durable.take()?;
-                for (op, ruling) in std::mem::take(&mut w.group).into_iter().zip(rulings) {
-                    w.hear(op, ruling, self.early);
+            Step::Notify => {
+                let decisions = world.durable.take()?;
+                for (op, decision) in std::mem::take(&mut world.group).into_iter().zip(decisions) {
+                    world.notify(op, decision, self.answers_early);
                 }
             }
             Step::Crash => {
-                // What was not durable is gone, and so is all that the front knew.
-                w.crashes -= 1;
-                w.incarnation += 1;
-                w.group.clear();
-                w.durable = None;
-                w.fronts = vec![Front::Idle; self.requests];
+                // Operations that were not durable are lost, and so is the front's state in memory.
+                world.crashes -= 1;
+                world.incarnation += 1;
+                world.group.clear();
+                world.durable = None;
+                world.fronts = vec![Front::Idle; self.requests];
             }
         }
-        // Who was told last that trying again is harmless, and has not asked again, must find nothing run.
-        w.broken_promise |= (0..self.requests).any(|r| {
-            w.told[r].last() == Some(&Told::Refused) && w.fronts[r] == Front::Idle && w.asks[r] == 0 && {
-                w.runs[r] > 0 && !matches!(&w.disk[r], Some(d) if d.state != State::NotRun)
-            }
+        // If a client's last answer said that a retry is safe and the client has not retried, the request must not have run.
+        world.broken_promise |= (0..self.requests).any(|r| {
+            world.answers[r].last() == Some(&Answer::Refused)
+                && world.fronts[r] == Front::Idle
+                && world.requests_left[r] == 0
+                && { world.runs[r] > 0 && !matches!(&world.disk[r], Some(d) if d.state != State::NotRun) }
         });
-        Some(w)
+        Some(world)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::<Self>::always("no request runs twice", |_, w| w.runs.iter().all(|n| *n <= 1)),
-            Property::<Self>::always("no answer is contradicted", |_, w| {
-                w.told.iter().all(|t| !(t.contains(&Told::Served) && t.contains(&Told::Failed)))
+            Property::<Self>::always("no request runs twice", |_, world| world.runs.iter().all(|n| *n <= 1)),
+            Property::<Self>::always("no answer is contradicted", |_, world| {
+                world.answers.iter().all(|t| !(t.contains(&Answer::Served) && t.contains(&Answer::Failed)))
             }),
-            Property::<Self>::always("a refusal's promise is kept", |_, w| !w.broken_promise),
-            Property::<Self>::always("what goes to a machine is durable", |_, w| {
-                w.fronts.iter().zip(&w.disk).all(|(f, d)| !matches!(f, Front::Sent(_)) || d.is_some())
+            Property::<Self>::always("a refusal's promise is kept", |_, world| !world.broken_promise),
+            Property::<Self>::always("what goes to a machine is durable", |_, world| {
+                world.fronts.iter().zip(&world.disk).all(|(f, d)| !matches!(f, Front::Sent(_)) || d.is_some())
             }),
-            Property::<Self>::sometimes("a request is in doubt", |_, w| {
-                w.disk.iter().flatten().any(|d| d.state == State::Intended && d.incarnation < w.incarnation)
+            Property::<Self>::sometimes("a request is in doubt", |_, world| {
+                world
+                    .disk
+                    .iter()
+                    .flatten()
+                    .any(|d| d.state == State::Intended && d.incarnation < world.incarnation)
             }),
-            Property::<Self>::sometimes("a request is served", |_, w| {
-                w.told.iter().any(|t| t.contains(&Told::Served))
+            Property::<Self>::sometimes("a request is served", |_, world| {
+                world.answers.iter().any(|t| t.contains(&Answer::Served))
             }),
         ]
     }
 }
 
 #[test]
-fn over_all_interleavings_nothing_runs_twice_and_no_answer_is_contradicted() {
-    let ledger = Ledger { requests: 2, asks: 2, crashes: 2, early: false };
+fn no_interleaving_runs_a_request_twice_or_contradicts_an_answer() {
+    let ledger = Ledger { requests: 2, requests_left: 2, crashes: 2, answers_early: false };
     let checked = ledger.checker().threads(4).spawn_bfs().join();
     checked.assert_properties();
     eprintln!("{} states", checked.unique_state_count());
@@ -248,8 +255,8 @@
 }
 
 #[test]
-fn an_answer_before_its_commit_is_found_out() {
-    let ledger = Ledger { requests: 1, asks: 2, crashes: 1, early: true };
+fn an_answer_before_its_commit_is_detected() {
+    let ledger = Ledger { requests: 1, requests_left: 2, crashes: 1, answers_early: true };
     let checked = ledger.checker().spawn_bfs().join();
     assert!(checked.discovery("no answer is contradicted").is_some());
 }
--- a/crates/yarrowspoke-store/tests/records.rs
+++ b/crates/yarrowspoke-store/tests/records.rs
@@ -1,4 +1,4 @@
-//! Frames, marks, trust and the rules of the ledger by themselves.
+//! Unit tests of frames, marks, the trust in snapshots and the decisions of the ledger.
 
 use yarrowspoke_store::ledger::{
     advance_clock, decide, may_expire, record_end, Decision, Outcome, Record, SpaceUsage, State,
@@ -9,14 +9,14 @@
 use yarrowspoke_store::snapshot::{trust, Snapshot, Trust, TrustBounds};
 use yarrowspoke_store::store::id_of;
 
-const ROOM: SpaceUsage = SpaceUsage { bytes: 0, max_bytes: 1_000, first_expiry: None };
+const EMPTY_LEDGER: SpaceUsage = SpaceUsage { bytes: 0, max_bytes: 1_000, first_expiry: None };
 
 fn record(state: State, incarnation: u64, expires_at: u64) -> Record {
     Record { state, incarnation, expires_at }
 }
 
 #[test]
-fn each_byte_of_a_frame_is_guarded_and_another_version_is_named() {
+fn every_changed_bit_of_a_frame_is_detected() {
     let value = record(State::Done(Outcome::Served(Some(b"body".to_vec()))), 3, 77);
     let framed = frame(b"key", &value);
     assert_eq!(unframe::<Record>(b"key", &framed).unwrap(), value);
@@ -27,12 +27,12 @@
             flipped[at] ^= 1 << bit;
             assert!(unframe::<Record>(b"key", &flipped).is_err(), "byte {at}, bit {bit}");
         }
-        assert!(unframe::<Record>(b"key", &framed[..at]).is_err(), "cut at {at}");
+        assert!(unframe::<Record>(b"key", &framed[..at]).is_err(), "truncated at {at}");
     }
 }
 
 #[test]
-fn each_byte_of_a_mark_is_guarded_and_another_format_is_named() {
+fn every_changed_byte_of_a_mark_is_detected_and_another_format_is_reported() {
     let mark = Mark { commit: 9, incarnation: 2, id: 0xabc };
     let whole = mark.encode();
     assert_eq!(Mark::decode(&whole), Slot::Valid(mark));
@@ -49,9 +49,9 @@
 }
 
 #[test]
-fn what_comes_again_is_ruled_by_where_it_stands() {
+fn a_repeated_request_is_decided_by_the_state_of_its_record() {
     let served = |body: Option<&[u8]>| State::Done(Outcome::Served(body.map(<[u8]>::to_vec)));
-    for (state, incarnation, ruling) in [
+    for (state, incarnation, decision) in [
         (State::NotRun, 1, Decision::Admit),
         (State::NotRun, 2, Decision::Admit),
         (State::Intended, 1, Decision::InDoubt),
@@ -61,17 +61,17 @@
         (served(Some(b"x")), 1, Decision::Replay(b"x".to_vec())),
     ] {
         let r = record(state, incarnation, 100);
-        assert_eq!(decide(Some(&r), 2, 50, &ROOM, 10), ruling, "{r:?}");
-        // Once its time is over it counts as new, unless it is open in this very life.
-        let later = if ruling == Decision::InProgress { Decision::InProgress } else { Decision::Admit };
-        assert_eq!(decide(Some(&r), 2, 100, &ROOM, 10), later, "{r:?}");
-        assert_eq!(may_expire(&r, 2, 100), ruling != Decision::InProgress);
+        assert_eq!(decide(Some(&r), 2, 50, &EMPTY_LEDGER, 10), decision, "{r:?}");
+        // An expired record counts as absent, unless the request is in progress in this incarnation.
+        let later = if decision == Decision::InProgress { Decision::InProgress } else { Decision::Admit };
+        assert_eq!(decide(Some(&r), 2, 100, &EMPTY_LEDGER, 10), later, "{r:?}");
+        assert_eq!(may_expire(&r, 2, 100), decision != Decision::InProgress);
         assert!(!may_expire(&r, 2, 99));
     }
 }
 
 #[test]
-fn without_room_a_new_one_waits_until_something_is_due() {
+fn without_space_a_new_request_waits_until_a_record_expires() {
     let full = SpaceUsage { bytes: 995, max_bytes: 1_000, first_expiry: Some(900_000) };
     assert_eq!(decide(None, 1, 500_000, &full, 10), Decision::NoSpace(400_000));
     assert_eq!(decide(None, 1, 899_999, &full, 10), Decision::NoSpace(MIN_RETRY_AFTER));
@@ -79,10 +79,13 @@
 }
 
 #[test]
-fn an_end_counts_only_over_an_intent_of_this_life() {
+fn an_end_is_recorded_only_over_an_intent_of_this_incarnation() {
     let ends = |r: Option<Record>| record_end(r.as_ref(), 2, State::NotRun, 9).is_some();
     assert!(ends(Some(record(State::Intended, 2, 5))));
-    assert!(!ends(Some(record(State::Intended, 1, 5))), "a doubt of an earlier life stays one");
+    assert!(
+        !ends(Some(record(State::Intended, 1, 5))),
+        "an outcome unknown since an earlier incarnation stays unknown"
+    );
     assert!(!ends(Some(record(State::Done(Outcome::Failed), 2, 5))) && !ends(None));
 }
 
@@ -92,7 +95,7 @@
 }
 
 #[test]
-fn ids_hang_on_store_class_and_identity() {
+fn ids_depend_on_store_class_and_identity() {
     let ids =
         [id_of(1, "a", "b"), id_of(2, "a", "b"), id_of(1, "ab", ""), id_of(1, "a", "c"), id_of(1, "", "ab")];
     for (n, id) in ids.iter().enumerate() {
@@ -101,19 +104,19 @@
 }
 
 #[test]
-fn trust_falls_with_age_and_what_is_not_ours_has_none() {
+fn trust_decreases_with_age_and_another_deployment_has_none() {
     let bounds = TrustBounds { full_trust_age: 10, no_trust_age: 110, max_clock_skew: 2 };
     let known = Snapshot { written_at: 1_000, deployment: "d".into(), index: 4, ..Snapshot::default() };
-    let told = |now, deployment: &str, index| trust(&known, now, deployment, index, &bounds);
-    assert_eq!(told(1_010, "d", 4), Trust::Full);
-    assert_eq!(told(1_060, "d", 4), Trust::Part(0.5));
+    let trust_at = |now, deployment: &str, index| trust(&known, now, deployment, index, &bounds);
+    assert_eq!(trust_at(1_010, "d", 4), Trust::Full);
+    assert_eq!(trust_at(1_060, "d", 4), Trust::Part(0.5));
     for (trust, word) in [
-        (told(1_110, "d", 0), "of no use"),
-        (told(997, "d", 0), "in the future"),
-        (told(1_000, "e", 0), "of deployment"),
-        (told(1_000, "d", 5), "version 4"),
+        (trust_at(1_110, "d", 0), "of no use"),
+        (trust_at(997, "d", 0), "in the future"),
+        (trust_at(1_000, "e", 0), "of deployment"),
+        (trust_at(1_000, "d", 5), "version 4"),
     ] {
         assert!(matches!(&trust, Trust::None(why) if why.contains(word)), "{trust:?}");
     }
-    assert_eq!(told(998, "d", 0), Trust::Full);
+    assert_eq!(trust_at(998, "d", 0), Trust::Full);
 }
